--- a/internal/wire/discovery/list.go
+++ b/internal/wire/discovery/list.go
@@ -5,14 +5,14 @@
 	"fmt"
 )
 
-// List is the list of databases, or what has changed of it.
+// List is the whole list of databases (if Whole is set) or the changes since an earlier generation.
 type List struct {
 	Generation int64      `json:"generation"`
 	Whole      bool       `json:"reset"`
 	Instances  []Instance `json:"instances"`
 }
 
-// Instance is one database.
+// Instance describes one database.
 type Instance struct {
 	ID        string  `json:"instanceId"`
 	Address   string  `json:"hostPort"`
@@ -20,32 +20,32 @@
 	Group     int     `json:"cell"`
 	Lifecycle string  `json:"lifecycle"`
 	Weight    float64 `json:"weight"`
-	StartedMs int64   `json:"startedAtMs"` // Unix time; 0 = long ago
+	StartedMs int64   `json:"startedAtMs"` // Unix milliseconds; 0 = long ago
 }
 
-// The lifecycles.
+// Values of Instance.Lifecycle.
 const (
 	InService   = "in_service"
 	Terminating = "terminating"
 	Terminated  = "terminated"
 )
 
-// ParseList reads a list. Unknown names are passed over; an unknown lifecycle makes the list unusable, since
-// either guess, to send or not to, could be wrong.
-func ParseList(text []byte) (List, error) {
-	var l List
-	if err := json.Unmarshal(text, &l); err != nil {
-		return l, fmt.Errorf("list of databases: %w", err)
+// ParseList parses a list. Unknown JSON names are ignored. An unknown lifecycle is an error, since it doesn't tell
+// whether requests may be sent to the database, and either guess could be wrong.
+func ParseList(data []byte) (List, error) {
+	var list List
+	if err := json.Unmarshal(data, &list); err != nil {
+		return list, fmt.Errorf("list of databases: %w", err)
 	}
-	for _, e := range l.Instances {
-		if e.ID == "" {
-			return l, fmt.Errorf("list of databases: an entry has no instanceId")
+	for _, entry := range list.Instances {
+		if entry.ID == "" {
+			return list, fmt.Errorf("list of databases: an entry has no instanceId")
 		}
-		switch e.Lifecycle {
+		switch entry.Lifecycle {
 		case InService, Terminating, Terminated:
 		default:
-			return l, fmt.Errorf("list of databases: %s: unknown lifecycle %q", e.ID, e.Lifecycle)
+			return list, fmt.Errorf("list of databases: %s: unknown lifecycle %q", entry.ID, entry.Lifecycle)
 		}
 	}
-	return l, nil
+	return list, nil
 }
--- a/internal/wire/discovery/url.go
+++ b/internal/wire/discovery/url.go
@@ -1,5 +1,5 @@
-// Package discovery is what the service that lists the databases speaks, in JSON over HTTP. It reads and writes texts
-// and does no input or output of its own.
+// Package discovery builds the requests and parses the responses of the discovery service, which lists the databases
+// as JSON over HTTP. It performs no I/O.
 package discovery
 
 import (
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// MaxBody bounds an answer: a list of some thousand databases.
+// MaxBody is the maximum size of a response body, in bytes: enough for a list of several thousand databases.
 const MaxBody = 4 << 20
 
-// NoList stands for the generation where there is no list yet. Generations count from 0.
+// NoList is used as the generation while there is no list yet. Real generations start at 0.
 const NoList = -1
 
-// URL names a call: for the whole list, or for what is newer than a generation, waiting so long for it.
+// URL returns the URL that requests the whole list, if after is NoList, or else the changes since generation after,
+// for which the service waits up to the given time.
 func URL(host string, after int64, wait time.Duration) string {
 	url := "http://" + host + "/v1/endpoints"
 	if after == NoList {
--- a/internal/wire/pg/message.go
+++ b/internal/wire/pg/message.go
@@ -1,5 +1,5 @@
-// Package pg is the part of PostgreSQL's protocol, version 3, that the proxy speaks: simple queries without a
-// password. It reads and writes byte slices and does no input or output of its own.
+// Package pg encodes and decodes the part of the PostgreSQL frontend/backend protocol, version 3, that the proxy
+// supports: simple queries without password authentication. It works on byte slices and performs no I/O.
 package pg
 
 import (
@@ -11,54 +11,55 @@
 )
 
 const (
-	// MaxMessage bounds one message: a value of 64 KiB is 128 KiB as hexadecimal text, and some words round it.
-	MaxMessage = 160 << 10
-	maxStartup = 8 << 10 // startup messages hold a few names
-
-	protocol3  = 3 << 16
-	cancelCode = 1234<<16 | 5678
-	sslCode    = 1234<<16 | 5679
-	gssCode    = 1234<<16 | 5680
+	// MaxMessage is the maximum length of a message, in bytes. A value of 64 KiB takes 128 KiB as hexadecimal text;
+	// the rest is for the text around it.
+	MaxMessage        = 160 << 10
+	maxStartupMessage = 8 << 10 // in bytes; a startup message holds only a few short parameters
+
+	protocolVersion3  = 3 << 16
+	cancelRequestCode = 1234<<16 | 5678
+	sslRequestCode    = 1234<<16 | 5679
+	gssEncRequestCode = 1234<<16 | 5680
 )
 
-// The types of message that the proxy reads or writes.
+// Message types that the proxy reads or writes.
 const (
 	TypeQuery     = 'Q'
 	TypeTerminate = 'X'
 
-	typeAuth     = 'R'
-	typeParam    = 'S'
-	typeKeyData  = 'K'
-	typeReady    = 'Z'
-	typeRowDesc  = 'T'
-	typeRow      = 'D'
-	typeComplete = 'C'
-	typeEmpty    = 'I'
-	typeError    = 'E'
-	typeNotice   = 'N'
+	typeAuthentication  = 'R'
+	typeParameterStatus = 'S'
+	typeBackendKeyData  = 'K'
+	typeReadyForQuery   = 'Z'
+	typeRowDescription  = 'T'
+	typeDataRow         = 'D'
+	typeCommandComplete = 'C'
+	typeEmptyQuery      = 'I'
+	typeErrorResponse   = 'E'
+	typeNoticeResponse  = 'N'
 )
 
-// The SQLSTATE codes that say something to the proxy or its clients.
+// SQLSTATE codes that have a meaning to the proxy or its clients.
 const (
 	CodeProtocol   = "08P01" // malformed input
-	CodeTooMany    = "53300" // turned away unseen, try again
-	CodeNotNow     = "57P03" // likewise
-	CodeReadOnly   = "25006" // a write, and this is no primary
-	CodeTooFarBack = "72000" // the data is too old for the read
-	CodeFailed     = "58000" // the proxy found nobody to answer
+	CodeTooMany    = "53300" // refused before execution, safe to retry
+	CodeNotNow     = "57P03" // the server accepts no queries now; refused before execution, safe to retry
+	CodeReadOnly   = "25006" // a write was sent to a server that is not the primary
+	CodeTooFarBack = "72000" // the server's data is too old for the read
+	CodeFailed     = "58000" // the proxy got no answer from any database
 )
 
-// ErrMalformed tells of bytes that are not the protocol.
+// ErrMalformed is returned for input that violates the protocol. Clients receive its text.
 var ErrMalformed = errors.New("malformed message")
 
-// Message is one message; Body is a part of the buffer that it was cut from.
+// Message is one protocol message. Body and Raw are slices of the buffer that it was decoded from.
 type Message struct {
 	Type byte
 	Body []byte
-	Raw  []byte // all of it, type and length included
+	Raw  []byte // the whole message, including its type and length
 }
 
-// Next cuts the first message off buf. It gives 0 for a message that isn't there as a whole yet.
+// Next decodes the first message in buf and returns its size in bytes, or 0 if the message is still incomplete.
 func Next(buf []byte) (m Message, n int, err error) {
 	if len(buf) < 5 {
 		return m, 0, nil
@@ -73,40 +74,41 @@
 	return Message{Type: buf[0], Body: buf[5:n], Raw: buf[:n]}, n, nil
 }
 
-// Opening is what a client opens its connection with.
+// Opening is the kind of the first message on a client's connection.
 type Opening uint8
 
-// The kinds of opening.
+// The kinds of first message: a startup message, a request for encryption and a cancel request.
 const (
 	OpenSession Opening = iota
 	OpenEncrypted
 	OpenCancel
 )
 
-// NextOpening cuts the untyped first message of a client off buf; 0 means that it isn't whole yet.
+// NextOpening decodes a client's first message, which has no type byte, and returns its size in bytes, or 0 if the
+// message is still incomplete.
 func NextOpening(buf []byte) (o Opening, n int, err error) {
 	if len(buf) < 4 {
 		return o, 0, nil
 	}
 	size := binary.BigEndian.Uint32(buf)
-	if size < 8 || size > maxStartup {
+	if size < 8 || size > maxStartupMessage {
 		return o, 0, ErrMalformed
 	}
 	if len(buf) < int(size) {
 		return o, 0, nil
 	}
 	switch code := binary.BigEndian.Uint32(buf[4:]); {
-	case code == sslCode || code == gssCode:
+	case code == sslRequestCode || code == gssEncRequestCode:
 		o = OpenEncrypted
-	case code == cancelCode:
+	case code == cancelRequestCode:
 		o = OpenCancel
-	case code>>16 != protocol3>>16:
+	case code>>16 != protocolVersion3>>16:
 		return o, 0, ErrMalformed
 	}
 	return o, int(size), nil
 }
 
-// QueryText gives the text of a Query message.
+// QueryText returns the text of a Query message without its terminating zero byte.
 func QueryText(m Message) ([]byte, error) {
 	if len(m.Body) == 0 || bytes.IndexByte(m.Body, 0) != len(m.Body)-1 {
 		return nil, ErrMalformed
@@ -114,94 +116,98 @@
 	return m.Body[:len(m.Body)-1], nil
 }
 
-// begin starts a message whose length end fills in.
-func begin(dst []byte, kind byte) ([]byte, int) {
-	dst = append(dst, kind, 0, 0, 0, 0)
+// beginMessage appends a message's type and a placeholder for its length. It returns the offset of the length,
+// which endMessage fills in.
+func beginMessage(dst []byte, messageType byte) ([]byte, int) {
+	dst = append(dst, messageType, 0, 0, 0, 0)
 	return dst, len(dst) - 4
 }
 
-func end(dst []byte, at int) []byte {
+// endMessage writes the length of the message whose length field is at offset at.
+func endMessage(dst []byte, at int) []byte {
 	binary.BigEndian.PutUint32(dst[at:], uint32(len(dst)-at))
 	return dst
 }
 
-func cstring(dst []byte, s string) []byte { return append(append(dst, s...), 0) }
+// appendCString appends s and a terminating zero byte.
+func appendCString(dst []byte, s string) []byte { return append(append(dst, s...), 0) }
 
-// AppendStartup opens a session at a database.
+// AppendStartup appends the startup message that opens a session on a database server.
 func AppendStartup(dst []byte, user, database string) []byte {
 	at := len(dst)
 	dst = append(dst, 0, 0, 0, 0)
-	dst = binary.BigEndian.AppendUint32(dst, protocol3)
+	dst = binary.BigEndian.AppendUint32(dst, protocolVersion3)
 	for _, s := range []string{"user", user, "database", database, ""} {
-		dst = cstring(dst, s)
+		dst = appendCString(dst, s)
 	}
-	return end(dst, at)
+	return endMessage(dst, at)
 }
 
-// AppendQuery writes a simple query.
+// AppendQuery appends a simple query.
 func AppendQuery(dst []byte, text string) []byte {
-	dst, at := begin(dst, TypeQuery)
-	return end(cstring(dst, text), at)
+	dst, at := beginMessage(dst, TypeQuery)
+	return endMessage(appendCString(dst, text), at)
 }
 
-// AppendRefuseEncryption answers a client that asks for encryption: it may go on without.
+// AppendRefuseEncryption appends the answer to a request for encryption: the client may continue unencrypted.
 func AppendRefuseEncryption(dst []byte) []byte { return append(dst, 'N') }
 
-// AppendWelcome answers a client's startup message.
+// AppendWelcome appends the answer to a client's startup message: AuthenticationOk, the server's parameters and
+// ReadyForQuery.
 func AppendWelcome(dst []byte) []byte {
-	dst, at := begin(dst, typeAuth)
-	dst = end(binary.BigEndian.AppendUint32(dst, 0), at)
+	dst, at := beginMessage(dst, typeAuthentication)
+	dst = endMessage(binary.BigEndian.AppendUint32(dst, 0), at)
 	for _, p := range [][2]string{{"server_version", "15.0"}, {"server_encoding", "UTF8"},
 		{"client_encoding", "UTF8"}, {"standard_conforming_strings", "on"}} {
-		dst, at = begin(dst, typeParam)
-		dst = end(cstring(cstring(dst, p[0]), p[1]), at)
+		dst, at = beginMessage(dst, typeParameterStatus)
+		dst = endMessage(appendCString(appendCString(dst, p[0]), p[1]), at)
 	}
 	return AppendReady(dst)
 }
 
-// AppendReady tells a client that it may send its next query.
+// AppendReady appends ReadyForQuery: the client may send its next query.
 func AppendReady(dst []byte) []byte {
-	dst, at := begin(dst, typeReady)
-	return end(append(dst, 'I'), at)
+	dst, at := beginMessage(dst, typeReadyForQuery)
+	return endMessage(append(dst, 'I'), at)
 }
 
-// AppendEmpty answers an empty query.
+// AppendEmpty appends the answer to an empty query.
 func AppendEmpty(dst []byte) []byte {
-	dst, at := begin(dst, typeEmpty)
-	return AppendReady(end(dst, at))
+	dst, at := beginMessage(dst, typeEmptyQuery)
+	return AppendReady(endMessage(dst, at))
 }
 
-// AppendServed passes on what a database answered: its row and its completion, as they came.
+// AppendServed appends body, the Body of a database's Reply, unchanged, followed by ReadyForQuery.
 func AppendServed(dst, body []byte) []byte { return AppendReady(append(dst, body...)) }
 
-// AppendRefused turns a request away; comeBack, if any, tells the client after how long to come again. It is
-// rounded up, so that nobody comes before the time.
-func AppendRefused(dst []byte, comeBack time.Duration) []byte {
+// AppendRefused appends the refusal of a request. A positive retryAfter is sent as the detail field, in
+// milliseconds; it is rounded up so that no client retries too early.
+func AppendRefused(dst []byte, retryAfter time.Duration) []byte {
 	detail := ""
-	if comeBack > 0 {
-		detail = strconv.FormatInt(int64((comeBack+time.Millisecond-1)/time.Millisecond), 10)
+	if retryAfter > 0 {
+		detail = strconv.FormatInt(int64((retryAfter+time.Millisecond-1)/time.Millisecond), 10)
 	}
 	return AppendReady(appendError(dst, "ERROR", CodeTooMany, "no member can take this now", detail))
 }
 
-// AppendFailed tells that a request failed and that nothing is known of its effect.
+// AppendFailed appends the error for a failed request. It is unknown whether the request took effect.
 func AppendFailed(dst []byte) []byte {
 	return AppendReady(appendError(dst, "ERROR", CodeFailed, "no member answered in time", ""))
 }
 
-// AppendFatal is the last word on a connection.
+// AppendFatal appends a fatal error, the last message before the connection is closed.
 func AppendFatal(dst []byte, code, text string) []byte {
 	return appendError(dst, "FATAL", code, text, "")
 }
 
 func appendError(dst []byte, severity, code, text, detail string) []byte {
-	dst, at := begin(dst, typeError)
-	dst = cstring(append(dst, 'S'), severity)
-	dst = cstring(append(dst, 'V'), severity)
-	dst = cstring(append(dst, 'C'), code)
-	dst = cstring(append(dst, 'M'), text)
+	dst, at := beginMessage(dst, typeErrorResponse)
+	dst = appendCString(append(dst, 'S'), severity)
+	dst = appendCString(append(dst, 'V'), severity)
+	dst = appendCString(append(dst, 'C'), code)
+	dst = appendCString(append(dst, 'M'), text)
 	if detail != "" {
-		dst = cstring(append(dst, 'D'), detail)
+		dst = appendCString(append(dst, 'D'), detail)
 	}
-	return end(append(dst, 0), at)
+	return endMessage(append(dst, 0), at)
 }
--- a/internal/wire/pg/reply.go
+++ b/internal/wire/pg/reply.go
@@ -7,68 +7,69 @@
 	"strings"
 )
 
-// The roles that databases tell.
+// Roles that databases report.
 const (
 	RolePrimary = "primary"
 	RoleReplica = "replica"
 )
 
-// Reply gathers what a database says to one command, up to its ReadyForQuery.
+// Reply collects a database's messages in answer to one query, up to ReadyForQuery.
 type Reply struct {
-	Code     string // the SQLSTATE of an error; empty where there was none
-	Body     []byte // description, row and completion, as they came
-	Role     string // RolePrimary, RoleReplica or nothing
-	Position int64  // Unix milliseconds; 0 = not told
-	Load     string // a load report
+	Code     string // SQLSTATE of the error; empty if there was none
+	Body     []byte // RowDescription, DataRow and CommandComplete, unchanged
+	Role     string // RolePrimary, RoleReplica or empty
+	Position int64  // Unix milliseconds; 0 = not reported
+	Load     string // load report; see ParseReport
 
-	row      []byte
-	rows     int
+	row      []byte // value of the row; a slice of Body
+	rowCount int
 	complete bool
 	ready    bool
 }
 
-// Reset makes the reply ready for the next command. It keeps the room of Body.
+// Reset clears the reply for the next query. It keeps the capacity of Body.
 func (r *Reply) Reset() { *r = Reply{Body: r.Body[:0]} }
 
-// Ready tells whether the database has finished.
+// Ready reports whether ReadyForQuery has arrived, which ends the reply.
 func (r *Reply) Ready() bool { return r.ready }
 
-// Served tells whether a whole answer came: one row and its completion.
-func (r *Reply) Served() bool { return r.Code == "" && r.rows == 1 && r.complete }
+// Served reports whether the answer is complete: one row and CommandComplete, and no error.
+func (r *Reply) Served() bool { return r.Code == "" && r.rowCount == 1 && r.complete }
 
-// Add takes the next message. An error means that the database's bytes make no sense.
+// Add processes the next message. It returns ErrMalformed for a message that violates the protocol or that the
+// proxy doesn't support.
 func (r *Reply) Add(m Message) error {
 	switch m.Type {
-	case typeAuth:
+	case typeAuthentication:
 		if len(m.Body) != 4 || binary.BigEndian.Uint32(m.Body) != 0 {
-			return ErrMalformed // it wants a password, which there is none
+			return ErrMalformed // the database requires a password, and the proxy has none
 		}
-	case typeKeyData, typeNotice, typeEmpty:
-	case typeParam:
-		return r.param(m.Body)
-	case typeRowDesc:
+	case typeBackendKeyData, typeNoticeResponse, typeEmptyQuery:
+	case typeParameterStatus:
+		return r.addParameter(m.Body)
+	case typeRowDescription:
 		if len(r.Body) > 0 {
-			return ErrMalformed // one statement, one answer; more of them would fill the memory
+			return ErrMalformed // one result per statement; without the limit a database could fill the memory
 		}
 		r.Body = append(r.Body, m.Raw...)
-	case typeRow:
-		value, ok := column(m.Body)
-		if r.rows++; !ok || r.rows > 1 {
+	case typeDataRow:
+		value, ok := singleColumn(m.Body)
+		if r.rowCount++; !ok || r.rowCount > 1 {
 			return ErrMalformed
 		}
 		r.Body = append(r.Body, m.Raw...)
 		r.row = r.Body[len(r.Body)-len(value):]
-	case typeComplete:
+	case typeCommandComplete:
 		if r.complete {
 			return ErrMalformed
 		}
 		r.Body = append(r.Body, m.Raw...)
 		r.complete = true
-	case typeError:
-		if r.Code = errorCode(m.Body); r.Code == "" {
+	case typeErrorResponse:
+		if r.Code = sqlState(m.Body); r.Code == "" {
 			return ErrMalformed
 		}
-	case typeReady:
+	case typeReadyForQuery:
 		r.ready = true
 	default:
 		return ErrMalformed
@@ -76,7 +77,8 @@
 	return nil
 }
 
-func (r *Reply) param(body []byte) error {
+// addParameter processes the body of a ParameterStatus message. Unknown parameters are ignored.
+func (r *Reply) addParameter(body []byte) error {
 	parts := bytes.SplitN(body, []byte{0}, 3)
 	if len(parts) != 3 || len(parts[2]) != 0 {
 		return ErrMalformed
@@ -96,8 +98,8 @@
 	return nil
 }
 
-// column gives the value of a row of one column.
-func column(body []byte) ([]byte, bool) {
+// singleColumn returns the value of a DataRow with exactly one column. NULL counts as an empty value.
+func singleColumn(body []byte) ([]byte, bool) {
 	if len(body) < 6 || binary.BigEndian.Uint16(body) != 1 {
 		return nil, false
 	}
@@ -108,12 +110,14 @@
 	return body[6:], int(n) == len(body)-6
 }
 
-// Unfit tells of the codes for a statement that is at fault itself: protocol violations, bad data, bad syntax.
+// Unfit reports whether an SQLSTATE says that the statement itself is at fault: a protocol violation, bad data
+// (class 22) or bad syntax (class 42).
 func Unfit(code string) bool {
 	return code == CodeProtocol || strings.HasPrefix(code, "22") || strings.HasPrefix(code, "42")
 }
 
-func errorCode(body []byte) string {
+// sqlState returns the SQLSTATE of an ErrorResponse, or an empty string if there is none.
+func sqlState(body []byte) string {
 	for len(body) > 1 {
 		field, rest, ok := bytes.Cut(body[1:], []byte{0})
 		if !ok {
@@ -127,16 +131,17 @@
 	return ""
 }
 
-// Report is a load report.
+// Report is a decoded load report.
 type Report struct {
-	Told     bool    // there is one
-	Position float64 // Unix seconds; 0 = not told
-	Role     string  // as in Reply
-	Queue    float64 // negative = not told
+	Told     bool    // the text had at least one numeric field
+	Position float64 // Unix seconds; 0 = not reported
+	Role     string  // as in Reply.Role
+	Queue    float64 // queued requests; negative = not reported
 }
 
-// ParseReport reads a report of the form "x0=1767225600.123,x1=1,inflight=7". Positions have more digits than
-// a 32-bit float holds.
+// ParseReport parses a load report of the form "x0=1767225600.123,x1=1,inflight=7": x0 is the position, x1 is 1 on
+// the primary, queue is the number of queued requests. Unknown fields are ignored. Values are parsed as 64-bit
+// floats, since a position has more digits than a 32-bit float holds.
 func ParseReport(text string) Report {
 	out := Report{Queue: -1}
 	for field := range strings.SplitSeq(text, ",") {
@@ -160,5 +165,5 @@
 	return out
 }
 
-// Row gives the value of the row, which is a part of Body.
+// Row returns a copy of the row's value.
 func (r *Reply) Row() string { return string(r.row) }
--- a/internal/wire/pg/statement.go
+++ b/internal/wire/pg/statement.go
@@ -8,43 +8,43 @@
 	"time"
 )
 
-// Statement is one request: its text and what the comment at its end says of it.
+// Statement is one request: its text and the fields of the routing comment at its end.
 type Statement struct {
 	Text    string
 	ID      string
-	Session uint64 // from the quoted key; never 0
+	Session uint64 // derived from the statement's first quoted text; never 0
 	Class   string
-	Wait    time.Duration // how long the client waits, counted from its sending
+	Wait    time.Duration // how long the client waits, from the time it sent the request
 	Group   int
-	After   int64 // Unix milliseconds of the session's last commit; 0 = none
-	Retry   bool
+	After   int64 // time of the session's last commit, Unix milliseconds; 0 = none
+	Retry   bool  // the client marked the request as a repeat
 
-	waitAt, waitEnd int // where Wait's number stands in Text
+	waitStart, waitEnd int // byte range of the value of d (Wait) in Text
 }
 
-// ErrStatement tells of a query that is no routable statement.
+// ErrStatement is returned for a query without a valid routing comment or quoted key. Clients receive its text.
 var ErrStatement = errors.New("not a statement with a routing comment")
 
-// ParseStatement reads a statement such as
+// ParseStatement parses a statement such as
 //
 //	SELECT val FROM state WHERE uid = 'KEY' /* id=9b1f03aa,c=basket,d=480,cluster=2,after=1767225600123 */
 //
-// Names that it doesn't know are passed over. The text is kept as it came.
+// Unknown names in the comment are ignored. The text is kept unchanged.
 func ParseStatement(text string) (Statement, error) {
 	s := Statement{Text: text}
-	from, to := strings.LastIndex(text, "/*"), strings.LastIndex(text, "*/")
-	if from < 0 || to < from+2 || strings.Trim(text[to+2:], " \t\r\n;") != "" {
+	commentStart, commentEnd := strings.LastIndex(text, "/*"), strings.LastIndex(text, "*/")
+	if commentStart < 0 || commentEnd < commentStart+2 || strings.Trim(text[commentEnd+2:], " \t\r\n;") != "" {
 		return s, ErrStatement
 	}
-	key, ok := quoted(text[:from])
+	key, ok := firstQuoted(text[:commentStart])
 	if !ok {
 		return s, ErrStatement
 	}
-	s.Session = sessionOf(key)
-	grouped := false
-	for at := from + 2; at < to; {
-		end := at + strings.IndexByte(text[at:to]+",", ',')
-		name, value, _ := strings.Cut(strings.TrimSpace(text[at:end]), "=")
+	s.Session = sessionFromKey(key)
+	hasGroup := false
+	for start := commentStart + 2; start < commentEnd; {
+		end := start + strings.IndexByte(text[start:commentEnd]+",", ',')
+		name, value, _ := strings.Cut(strings.TrimSpace(text[start:end]), "=")
 		var err error
 		switch name {
 		case "id":
@@ -54,16 +54,16 @@
 		case "d":
 			var ms int64
 			ms, err = strconv.ParseInt(value, 10, 64)
-			// 0 is what a client writes that has less than a millisecond left; it is owed an answer all the same.
+			// A client with less than a millisecond left sends 0; it must still get an answer.
 			if ms < 0 || ms > int64(24*time.Hour/time.Millisecond) {
 				return s, ErrStatement
 			}
 			s.Wait = time.Duration(ms) * time.Millisecond
-			s.waitAt = at + strings.Index(text[at:end], value)
-			s.waitEnd = s.waitAt + len(value)
+			s.waitStart = start + strings.Index(text[start:end], value)
+			s.waitEnd = s.waitStart + len(value)
 		case "cluster":
 			s.Group, err = strconv.Atoi(value)
-			grouped = true
+			hasGroup = true
 		case "after":
 			s.After, err = strconv.ParseInt(value, 10, 64)
 		case "r":
@@ -72,16 +72,16 @@
 		if err != nil {
 			return s, ErrStatement
 		}
-		at = end + 1
+		start = end + 1
 	}
-	if s.ID == "" || s.Class == "" || s.waitEnd == 0 || !grouped {
+	if s.ID == "" || s.Class == "" || s.waitEnd == 0 || !hasGroup {
 		return s, ErrStatement
 	}
 	return s, nil
 }
 
-// quoted gives the first quoted text of a statement.
-func quoted(text string) (string, bool) {
+// firstQuoted returns the first quoted text of a statement.
+func firstQuoted(text string) (string, bool) {
 	_, rest, ok := strings.Cut(text, "'")
 	if !ok {
 		return "", false
@@ -90,8 +90,9 @@
 	return key, ok
 }
 
-// sessionOf makes a number of a key: 16 hexadecimal digits are one already.
-func sessionOf(key string) uint64 {
+// sessionFromKey returns the session ID of a key: the number itself if the key is 16 hexadecimal digits, otherwise
+// a hash. It never returns 0.
+func sessionFromKey(key string) uint64 {
 	if n, err := strconv.ParseUint(key, 16, 64); err == nil && n != 0 && len(key) == 16 {
 		return n
 	}
@@ -100,11 +101,12 @@
 	return max(h.Sum64(), 1)
 }
 
-// AppendTo writes the statement for a database that has so long to answer. Only the number of d is changed; it
-// is rounded down, so that the database never works on what nobody waits for.
+// AppendTo appends the statement as a Query message for a database that has the given time to answer. Only the value
+// of d is replaced. It is rounded down to milliseconds (but is at least 1), so that the database doesn't work on a
+// request whose client has stopped waiting.
 func (s *Statement) AppendTo(dst []byte, wait time.Duration) []byte {
-	dst, at := begin(dst, TypeQuery)
-	dst = append(dst, s.Text[:s.waitAt]...)
+	dst, at := beginMessage(dst, TypeQuery)
+	dst = append(dst, s.Text[:s.waitStart]...)
 	dst = strconv.AppendInt(dst, max(int64(wait/time.Millisecond), 1), 10)
-	return end(cstring(dst, s.Text[s.waitEnd:]), at)
+	return endMessage(appendCString(dst, s.Text[s.waitEnd:]), at)
 }
--- a/internal/wire/settings/config.go
+++ b/internal/wire/settings/config.go
@@ -8,20 +8,20 @@
 	"havenproxy/internal/wire/discovery"
 )
 
-// Config is what one proxy is told at its start.
+// Config is the configuration of one proxy.
 type Config struct {
 	Name      string
 	Listen    string
 	Discovery string
 	MemoryMB  int
 	Sockets   int
-	Known     discovery.List // the databases as this proxy last had them; may be old
+	Known     discovery.List // the list of databases that this proxy last received; may be out of date
 	Settings  Settings
 }
 
-// ParseConfig reads a proxy's configuration. The error names what is wrong in one line.
-func ParseConfig(text []byte) (Config, error) {
-	var j struct {
+// ParseConfig parses a proxy's configuration. The error says which field is wrong.
+func ParseConfig(data []byte) (Config, error) {
+	var raw struct {
 		Name      string `json:"name"`
 		Listen    string `json:"listen"`
 		Discovery string `json:"discovery"`
@@ -33,29 +33,29 @@
 		Known    json.RawMessage `json:"known"`
 		Settings json.RawMessage `json:"settings"`
 	}
-	if err := json.Unmarshal(text, &j); err != nil {
+	if err := json.Unmarshal(data, &raw); err != nil {
 		return Config{}, fmt.Errorf("configuration: not usable JSON: %w", err)
 	}
-	c := Config{Name: j.Name, Listen: j.Listen, Discovery: j.Discovery, MemoryMB: j.Limits.MemoryMB,
-		Sockets: j.Limits.Sockets}
+	c := Config{Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, MemoryMB: raw.Limits.MemoryMB,
+		Sockets: raw.Limits.Sockets}
 	for field, value := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
 		if value == "" {
 			return c, fmt.Errorf("configuration: %s is missing", field)
 		}
 	}
-	seed, err := strconv.ParseUint(j.Seed, 16, 64)
+	seed, err := strconv.ParseUint(raw.Seed, 16, 64)
 	if err != nil {
-		return c, fmt.Errorf("configuration: seed: %q is no hexadecimal number", j.Seed)
+		return c, fmt.Errorf("configuration: seed: %q is not a hexadecimal number", raw.Seed)
 	}
-	if c.Known.Generation = discovery.NoList; len(j.Known) > 0 {
-		if c.Known, err = discovery.ParseList(j.Known); err != nil {
+	if c.Known.Generation = discovery.NoList; len(raw.Known) > 0 {
+		if c.Known, err = discovery.ParseList(raw.Known); err != nil {
 			return c, fmt.Errorf("configuration: known: %w", err)
 		}
 	}
-	if len(j.Settings) == 0 {
+	if len(raw.Settings) == 0 {
 		return c, fmt.Errorf("configuration: settings is missing")
 	}
-	if c.Settings, err = Parse(j.Settings, seed); err != nil {
+	if c.Settings, err = Parse(raw.Settings, seed); err != nil {
 		return c, fmt.Errorf("configuration: %w", err)
 	}
 	return c, nil
--- a/internal/wire/settings/settings.go
+++ b/internal/wire/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads what a proxy is told: the settings of its deployment, which the adapter gets too, and
-// the configuration round them.
+// Package settings parses the settings of a deployment, which the proxy and the simulator adapter share, and the
+// proxy's configuration file, which contains them.
 package settings
 
 import (
@@ -11,6 +11,7 @@
 	"havenproxy/logic"
 )
 
+// classJSON is an element of request_classes.
 type classJSON struct {
 	Name   string  `json:"name"`
 	Aim    float64 `json:"aim"`
@@ -22,17 +23,18 @@
 	Worth  float64 `json:"worth"`
 }
 
+// settingsJSON is the JSON form of the settings. Times are in microseconds.
 type settingsJSON struct {
-	Fleet     int         `json:"fleet_size"`
+	FleetSize int         `json:"fleet_size"`
 	Classes   []classJSON `json:"request_classes"`
 	Discovery string      `json:"discovery"`
 	Domain    struct {
-		Freshness []string  `json:"freshness"`
-		ListRole  string    `json:"list_role"`
-		MaxAge    []float64 `json:"max_age"`
-		Origin    float64   `json:"origin_time"`
-		Checks    string    `json:"server_checks"`
-		Marks     string    `json:"session_marks"`
+		Freshness    []string  `json:"freshness"`
+		ListRole     string    `json:"list_role"`
+		MaxAge       []float64 `json:"max_age"`
+		Origin       float64   `json:"origin_time"`
+		Checks       string    `json:"server_checks"`
+		SessionMarks string    `json:"session_marks"`
 	} `json:"domain"`
 	Limits struct {
 		ConnectTime   float64 `json:"connect_timeout"`
@@ -65,19 +67,19 @@
 	Zones []string `json:"zones"`
 }
 
-// Settings is what the adapter and the proxy need of an instance's settings text.
+// Settings holds the parsed settings that the simulator adapter and the proxy use.
 type Settings struct {
 	Config logic.Config
-	Origin time.Duration // positions are counted from here
-	Fields []string      // the values of a load report, in order
+	Origin time.Duration // the time that positions are relative to
+	Fields []string      // names of the values in a load report, in order
 
 	Zones          []string
-	IdleClose      time.Duration // idle connections to databases are closed after this
+	IdleClose      time.Duration // idle connections to databases are closed after this time
 	ConnectTimeout time.Duration
 }
 
-// word maps a settings word to a value; an absent word gives the zero value.
-func word[T any](field, got string, known map[string]T) (T, error) {
+// parseEnum returns the value that known has for a setting's text. An absent setting gives the zero value.
+func parseEnum[T any](field, got string, known map[string]T) (T, error) {
 	v, ok := known[got]
 	if !ok && got != "" {
 		return v, fmt.Errorf("settings: %s: unknown word %q", field, got)
@@ -85,62 +87,65 @@
 	return v, nil
 }
 
+// micros converts a number of microseconds, the unit of times in the settings.
 func micros(v float64) time.Duration { return time.Duration(v) * time.Microsecond }
 
-// Parse reads an instance's settings. Unknown keys are passed over.
-func Parse(text []byte, seed uint64) (Settings, error) {
-	var j settingsJSON
-	if err := json.Unmarshal(text, &j); err != nil {
+// Parse parses the settings. Unknown keys are ignored. The seed becomes part of the router's configuration.
+func Parse(data []byte, seed uint64) (Settings, error) {
+	var raw settingsJSON
+	if err := json.Unmarshal(data, &raw); err != nil {
 		return Settings{}, fmt.Errorf("settings: not usable JSON: %w", err)
 	}
-	d, l, s := &j.Domain, &j.Limits, &j.Safety
-	if len(d.Freshness) != len(j.Classes) {
+	domain, limits, safety := &raw.Domain, &raw.Limits, &raw.Safety
+	if len(domain.Freshness) != len(raw.Classes) {
 		return Settings{}, fmt.Errorf("settings: domain.freshness has %d entries for %d request_classes",
-			len(d.Freshness), len(j.Classes))
+			len(domain.Freshness), len(raw.Classes))
 	}
-	if len(d.MaxAge) != 0 && len(d.MaxAge) != len(j.Classes) {
+	if len(domain.MaxAge) != 0 && len(domain.MaxAge) != len(raw.Classes) {
 		return Settings{}, fmt.Errorf("settings: domain.max_age has %d entries for %d request_classes",
-			len(d.MaxAge), len(j.Classes))
+			len(domain.MaxAge), len(raw.Classes))
 	}
-	listRole, err1 := word("domain.list_role", d.ListRole, map[string]logic.ListRole{
+	listRole, err1 := parseEnum("domain.list_role", domain.ListRole, map[string]logic.ListRole{
 		"none": logic.ListRoleNone, "start": logic.ListRoleStart, "late": logic.ListRoleLate})
-	checks, err2 := word("domain.server_checks", d.Checks, map[string]logic.Checks{
+	checks, err2 := parseEnum("domain.server_checks", domain.Checks, map[string]logic.Checks{
 		"none": logic.ChecksNone, "refuse": logic.ChecksRefuse, "wait": logic.ChecksWait})
-	pull, err3 := word("discovery", j.Discovery, map[string]bool{"pushed": false, "on_request": true})
-	carried, err4 := word("domain.session_marks", d.Marks, map[string]bool{"remembered": false, "carried": true})
+	pull, err3 := parseEnum("discovery", raw.Discovery, map[string]bool{"pushed": false, "on_request": true})
+	carried, err4 := parseEnum("domain.session_marks", domain.SessionMarks,
+		map[string]bool{"remembered": false, "carried": true})
 	if err := errors.Join(err1, err2, err3, err4); err != nil {
 		return Settings{}, err
 	}
 	cfg := logic.Config{
-		Seed: seed, Fronts: j.Fleet, Zone: j.Zone, OverShare: j.OverShare, Tick: micros(j.Tick),
+		Seed: seed, Fronts: raw.FleetSize, Zone: raw.Zone, OverShare: raw.OverShare, Tick: micros(raw.Tick),
 		Pull: pull, ListRole: listRole, Carried: carried, Checks: checks,
-		MayProbe: l.Probes, MayCancel: l.MayCancel, Parallel: l.Parallel, MayComeBack: l.RetryAfter,
-		MaxAttempts: l.MaxAttempts, MaxComeBack: micros(l.MaxRetryAfter),
-		Cold: micros(s.Cold), ColdShare: s.ColdShare, FallMultiple: s.Multiple, DrainOnly: s.DrainOnly,
+		MayProbe: limits.Probes, MayCancel: limits.MayCancel, Parallel: limits.Parallel, MayComeBack: limits.RetryAfter,
+		MaxAttempts: limits.MaxAttempts, MaxComeBack: micros(limits.MaxRetryAfter),
+		Cold: micros(safety.Cold), ColdShare: safety.ColdShare, FallMultiple: safety.Multiple, DrainOnly: safety.DrainOnly,
 	}
-	for i, c := range j.Classes {
-		class, err := parseClass(c, d.Freshness[i])
+	for i, c := range raw.Classes {
+		class, err := parseClass(c, domain.Freshness[i])
 		if err != nil {
 			return Settings{}, fmt.Errorf("settings: request_classes[%d]: %w", i, err)
 		}
-		if len(d.MaxAge) != 0 {
-			class.MaxAge = micros(d.MaxAge[i])
+		if len(domain.MaxAge) != 0 {
+			class.MaxAge = micros(domain.MaxAge[i])
 		}
 		cfg.Classes = append(cfg.Classes, class)
 	}
-	for _, t := range j.Tenants {
+	for _, t := range raw.Tenants {
 		cfg.Tenants = append(cfg.Tenants, logic.Tenant{Name: t.Name, Quota: t.Quota})
 	}
-	return Settings{Config: cfg, Origin: micros(d.Origin), Fields: j.Reporting.Fields,
-		Zones: j.Zones, IdleClose: micros(l.IdleClose), ConnectTimeout: micros(l.ConnectTime)}, nil
+	return Settings{Config: cfg, Origin: micros(domain.Origin), Fields: raw.Reporting.Fields,
+		Zones: raw.Zones, IdleClose: micros(limits.IdleClose), ConnectTimeout: micros(limits.ConnectTime)}, nil
 }
 
+// parseClass converts a request class. Its freshness comes from another list of the settings, domain.freshness.
 func parseClass(c classJSON, freshness string) (logic.Class, error) {
-	read, err1 := word("freshness", freshness, map[string]logic.Freshness{"any": logic.Any,
+	read, err1 := parseEnum("freshness", freshness, map[string]logic.Freshness{"any": logic.Any,
 		"bounded": logic.Bounded, "session": logic.Session, "fresh": logic.Fresh, "write": logic.Write})
-	effect, err2 := word("effect", c.Effect, map[string]logic.Effect{
+	effect, err2 := parseEnum("effect", c.Effect, map[string]logic.Effect{
 		"free": logic.Free, "guarded": logic.Guarded, "single_shot": logic.SingleShot})
-	scope, err3 := word("key_scope", c.Scope, map[string]logic.KeyScope{
+	scope, err3 := parseEnum("key_scope", c.Scope, map[string]logic.KeyScope{
 		"all": logic.ScopeAll, "zone": logic.ScopeZone, "cell": logic.ScopeCell})
 	if err := errors.Join(err1, err2, err3); err != nil {
 		return logic.Class{}, err
--- a/internal/wire/settings/settings_test.go
+++ b/internal/wire/settings/settings_test.go
@@ -20,7 +20,7 @@
  "reporting": {"fields": ["x0", "x1"], "how": "probe"}, "tenants": [{"name": "t", "quota_rps": 12.5}],
  "safety": {"cold": 16000000, "cold_share": 0.16, "fall_multiple": 3.0, "overload_for": 3000000}}`
 
-func TestSettings(t *testing.T) {
+func TestParse(t *testing.T) {
 	s, err := Parse([]byte(sample), 9)
 	if err != nil {
 		t.Fatal(err)
@@ -49,8 +49,8 @@
 const config = `{"name": "n3", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
  "limits": {"memory_mb": 192, "sockets": 1024}, "settings": ` + sample + `}`
 
-// The configuration that the README starts the proxy with.
-func TestExampleIsUsable(t *testing.T) {
+// The README starts the proxy with this example configuration.
+func TestExampleConfigIsValid(t *testing.T) {
 	text, err := os.ReadFile("../../../deploy/example.json")
 	if err != nil {
 		t.Fatal(err)
@@ -61,9 +61,10 @@
 	}
 }
 
-func TestConfig(t *testing.T) {
+func TestParseConfig(t *testing.T) {
 	c, err := ParseConfig([]byte(config))
-	if err != nil || c.Settings.Config.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.Known.Generation != discovery.NoList {
+	if err != nil || c.Settings.Config.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 ||
+		c.Known.Generation != discovery.NoList {
 		t.Errorf("%+v, error %v", c, err)
 	}
 	for want, text := range map[string]string{
@@ -74,7 +75,8 @@
 		"domain.freshness":    strings.Replace(config, `"bounded", `, "", 1),
 		"lifecycle":           strings.Replace(config, `"limits"`, `"known": {"instances": [{"instanceId": "a"}]}, "limits"`, 1),
 	} {
-		if _, err := ParseConfig([]byte(text)); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		if _, err := ParseConfig([]byte(text)); err == nil || !strings.Contains(err.Error(), want) ||
+			strings.Contains(err.Error(), "\n") {
 			t.Errorf("error %v, want one line with %q", err, want)
 		}
 	}
--- a/internal/wire/sim/frames.go
+++ b/internal/wire/sim/frames.go
@@ -1,5 +1,5 @@
-// Package sim is the simulator's wire: its binary frames become values of package logic, and actions become
-// frames. It decides nothing.
+// Package sim encodes and decodes the simulator's binary protocol. It converts event frames to values of package
+// logic and the router's actions to frames; it contains no decision logic.
 package sim
 
 import (
@@ -14,63 +14,64 @@
 	"havenproxy/logic"
 )
 
-// The codes of events.
+// Event codes.
 const (
-	codeSheet     = 16
-	codeRoster    = 17
-	codeTimer     = 18
-	codeHello     = 19
-	codePong      = 20
-	codeEnd       = 21
-	codeRetire    = 22
-	codeSubmit    = 23
-	codeHead      = 24
-	codeAbandoned = 25
-	codeDatagram  = 26
+	codeDefineList    = 16 // defines a numbered member list, which codeMembers refers to
+	codeMembers       = 17
+	codeTimer         = 18
+	codeInstanceStart = 19
+	codeProbeResult   = 20
+	codeAttemptEnd    = 21
+	codeInstanceStop  = 22
+	codeRequest       = 23
+	codeAnswerStarted = 24
+	codeAbandoned     = 25
+	codeDatagram      = 26
 )
 
-// The codes of actions.
+// Action codes.
 const (
-	actDeliver = 16
-	actBusy    = 17
-	actFinish  = 18
-	actRevoke  = 19
-	actAlarm   = 20
-	actProbe   = 21
-	actShut    = 22
-	actShare   = 23
-	actRecord  = 24
-	actGiveIn  = 25
-	actObserve = 26
-	actPull    = 27
+	actionSend      = 16
+	actionRefuse    = 17
+	actionFail      = 18
+	actionCancel    = 19
+	actionSetTimer  = 20
+	actionProbe     = 21
+	actionCloseIdle = 22
+	actionDatagram  = 23
+	actionLog       = 24
+	actionAbort     = 25
+	actionWatch     = 26
+	actionFetch     = 27
 )
 
+// Sizes and limits. Sizes are in bytes.
 const (
-	eventHead, eventSize  = 16, 48
-	actionHead, actionLen = 8, 24
-	entrySize             = 29
-	maxFrame              = 1 << 30 // far above any batch; a larger length is a broken frame
-	maxSheets             = 16
+	eventHeaderSize, eventRecordSize   = 16, 48
+	actionHeaderSize, actionRecordSize = 8, 24
+	listEntrySize                      = 29
+	maxFrameSize                       = 1 << 30 // far larger than any batch; a larger length means a corrupt frame
+	maxLists                           = 16      // number of member lists that can be defined
 )
 
-// Kind tells which event an Event is.
+// Kind is the kind of an Event.
 type Kind uint8
 
-// The kinds of events that instances get.
+// The kinds of events that router instances receive.
 const (
-	Hello Kind = iota
-	Retire
-	Members
-	Submit
-	Head
-	Outcome
-	Probed
-	Timer
-	Abandoned
-	Datagram
+	Hello     Kind = iota // an instance starts; sets Seed and Settings
+	Retire                // an instance stops
+	Members               // news of the member list; sets List
+	Submit                // a client sent a request; sets Request
+	Head                  // a streamed answer has begun; sets ID and Attempt
+	Outcome               // an attempt ended; sets Outcome
+	Probed                // a probe ended; sets Probed
+	Timer                 // a timer expired; sets Timer
+	Abandoned             // the client left; sets ID
+	Datagram              // bytes from another instance, which are not decoded
 )
 
-// Event is one decoded event; only the fields of its Kind are set.
+// Event is one decoded event. Apart from Kind and Instance, only the fields of its Kind are set.
 type Event struct {
 	Kind     Kind
 	Instance uint32
@@ -85,72 +86,77 @@
 	Timer    logic.TimerID
 }
 
-// Scale is what an instance's settings say about reading its records.
+// Scale holds the settings of an instance that are needed to decode positions and load reports.
 type Scale struct {
-	Origin time.Duration
-	Fields []string
+	Origin time.Duration // the time that positions are relative to
+	Fields []string      // names of the values in a load report, in order
 }
 
-// Decoder reads batches. It keeps the numbered member lists, which all instances refer to.
+// Decoder reads and decodes batches. It keeps the numbered member lists, which all instances share.
 type Decoder struct {
-	r      *bufio.Reader
+	reader *bufio.Reader
 	buf    []byte
-	sheets [maxSheets][]logic.Member
+	lists  [maxLists][]logic.Member
 }
 
-// NewDecoder reads from r.
-func NewDecoder(r io.Reader) *Decoder { return &Decoder{r: bufio.NewReaderSize(r, 1<<16)} }
+// NewDecoder returns a Decoder that reads from reader.
+func NewDecoder(reader io.Reader) *Decoder {
+	return &Decoder{reader: bufio.NewReaderSize(reader, 1<<16)}
+}
 
 // Batch is one frame of events.
 type Batch struct {
-	Now   time.Duration
-	Count int
-	body  []byte
-	tail  []byte
+	Now   time.Duration // the clock at the time of the events
+	Count int           // number of records
+	body  []byte        // the records, each of eventRecordSize bytes
+	tail  []byte        // data of variable length that records refer to by offset and length
 }
 
-// Next reads one batch; io.EOF means a clean end. The batch is valid until the next call.
+// Next reads one batch, which is valid until the next call. It returns io.EOF if the input ends between two frames.
 func (d *Decoder) Next() (Batch, error) {
-	var head [eventHead]byte
-	if _, err := io.ReadFull(d.r, head[:]); err != nil {
+	var header [eventHeaderSize]byte
+	if _, err := io.ReadFull(d.reader, header[:]); err != nil {
 		if errors.Is(err, io.ErrUnexpectedEOF) {
 			return Batch{}, errors.New("frame: input ends within the 16-byte header")
 		}
 		return Batch{}, err
 	}
-	size := binary.LittleEndian.Uint32(head[:])
-	count := binary.LittleEndian.Uint32(head[12:])
-	if size < eventHead || size > maxFrame || uint64(count)*eventSize > uint64(size)-eventHead {
+	size := binary.LittleEndian.Uint32(header[:])
+	count := binary.LittleEndian.Uint32(header[12:])
+	if size < eventHeaderSize || size > maxFrameSize || uint64(count)*eventRecordSize > uint64(size)-eventHeaderSize {
 		return Batch{}, fmt.Errorf("frame: length %d at byte 0 can't hold %d records", size, count)
 	}
-	if err := d.fill(int(size) - eventHead); err != nil {
+	if err := d.readBody(int(size) - eventHeaderSize); err != nil {
 		return Batch{}, err
 	}
-	cut := int(count) * eventSize
-	return Batch{Now: micros64(binary.LittleEndian.Uint64(head[4:])), Count: int(count),
-		body: d.buf[:cut], tail: d.buf[cut:]}, nil
+	recordsSize := int(count) * eventRecordSize
+	return Batch{Now: micros64(binary.LittleEndian.Uint64(header[4:])), Count: int(count),
+		body: d.buf[:recordsSize], tail: d.buf[recordsSize:]}, nil
 }
 
-// fill reads n bytes, growing only as they come, so that a false length allocates nothing.
-func (d *Decoder) fill(n int) error {
+// readBody reads n bytes into buf. The buffer grows only as data arrives, so that a false length in the header
+// doesn't cause a large allocation.
+func (d *Decoder) readBody(n int) error {
 	d.buf = d.buf[:0]
 	for len(d.buf) < n {
-		step := min(n-len(d.buf), 1<<16)
+		chunk := min(n-len(d.buf), 1<<16)
 		at := len(d.buf)
-		for cap(d.buf) < at+step {
+		for cap(d.buf) < at+chunk {
 			d.buf = append(d.buf[:cap(d.buf)], 0)
 		}
-		d.buf = d.buf[:at+step]
-		if got, err := io.ReadFull(d.r, d.buf[at:]); err != nil {
-			return fmt.Errorf("frame: input ends after %d of %d bytes", eventHead+at+got, eventHead+n)
+		d.buf = d.buf[:at+chunk]
+		if got, err := io.ReadFull(d.reader, d.buf[at:]); err != nil {
+			return fmt.Errorf("frame: input ends after %d of %d bytes", eventHeaderSize+at+got, eventHeaderSize+n)
 		}
 	}
 	return nil
 }
 
+// micros64 converts a number of microseconds.
 func micros64(v uint64) time.Duration { return time.Duration(v) * time.Microsecond }
 
-// record gives access to one record's fields.
+// record is one record of an event, a member list or an action. Its methods read and write the field at an offset;
+// numbers are little-endian.
 type record []byte
 
 func (r record) u8(at int) uint8   { return r[at] }
@@ -163,13 +169,13 @@
 
 func (r record) micros(at int) time.Duration { return time.Duration(r.u32(at)) * time.Microsecond }
 
-// member packs a four-byte address and a port into one opaque id.
-func (r record) member(at int) logic.MemberID {
+// memberID packs a four-byte address (big-endian) and a port into one opaque ID.
+func (r record) memberID(at int) logic.MemberID {
 	return logic.MemberID(uint64(binary.BigEndian.Uint32(r[at:]))<<16 | uint64(r.u16(at+4)))
 }
 
-// span cuts length units of size bytes out of the tail.
-func (b Batch) span(offset, length uint32, unit uint64) ([]byte, error) {
+// tailSpan returns length units of unit bytes each from the tail, starting at byte offset.
+func (b Batch) tailSpan(offset, length uint32, unit uint64) ([]byte, error) {
 	end := uint64(offset) + uint64(length)*unit
 	if end > uint64(len(b.tail)) {
 		return nil, fmt.Errorf("offset %d with length %d lies outside the tail of %d bytes", offset, length, len(b.tail))
@@ -177,22 +183,23 @@
 	return b.tail[offset:end], nil
 }
 
-// Each decodes the events in order and hands them to f. Scale is asked for the reading rules of an instance.
-func (d *Decoder) Each(b Batch, scale func(instance uint32) (Scale, bool), f func(Event) error) error {
+// Each decodes the events of a batch in order and calls f for each. formatOf returns the Scale of an instance, or
+// false if the instance is unknown.
+func (d *Decoder) Each(b Batch, formatOf func(instance uint32) (Scale, bool), f func(Event) error) error {
 	for i := 0; i < b.Count; i++ {
-		rec := record(b.body[i*eventSize : (i+1)*eventSize])
-		if rec.u8(0) == codeSheet {
-			if err := d.sheet(b, rec); err != nil {
+		rec := record(b.body[i*eventRecordSize : (i+1)*eventRecordSize])
+		if rec.u8(0) == codeDefineList {
+			if err := d.defineList(b, rec); err != nil {
 				return fmt.Errorf("record %d (code %d): %w", i, rec.u8(0), err)
 			}
 			continue
 		}
 		e := Event{Instance: rec.u32(1)}
-		sc, known := scale(e.Instance)
-		if !known && rec.u8(0) != codeHello {
+		format, known := formatOf(e.Instance)
+		if !known && rec.u8(0) != codeInstanceStart {
 			return fmt.Errorf("record %d (code %d): instance %d is unknown", i, rec.u8(0), e.Instance)
 		}
-		if err := d.decode(b, rec, sc, &e); err != nil {
+		if err := d.decode(b, rec, format, &e); err != nil {
 			return fmt.Errorf("record %d (code %d): %w", i, rec.u8(0), err)
 		}
 		if err := f(e); err != nil {
@@ -202,19 +209,20 @@
 	return nil
 }
 
-func (d *Decoder) sheet(b Batch, rec record) error {
-	ref := rec.u8(1)
-	if ref >= maxSheets {
-		return fmt.Errorf("list number %d is above %d", ref, maxSheets-1)
+// defineList decodes a member list and stores it under its number, replacing an earlier one.
+func (d *Decoder) defineList(b Batch, rec record) error {
+	number := rec.u8(1)
+	if number >= maxLists {
+		return fmt.Errorf("list number %d is above %d", number, maxLists-1)
 	}
-	raw, err := b.span(rec.u32(2), rec.u32(6), entrySize)
+	raw, err := b.tailSpan(rec.u32(2), rec.u32(6), listEntrySize)
 	if err != nil {
 		return err
 	}
-	list := make([]logic.Member, 0, len(raw)/entrySize)
-	for ; len(raw) > 0; raw = raw[entrySize:] {
-		e := record(raw[:entrySize])
-		m := logic.Member{ID: e.member(0), Zone: int(e.u16(6)), Group: logic.GroupID(e.u16(10)),
+	list := make([]logic.Member, 0, len(raw)/listEntrySize)
+	for ; len(raw) > 0; raw = raw[listEntrySize:] {
+		e := record(raw[:listEntrySize])
+		m := logic.Member{ID: e.memberID(0), Zone: int(e.u16(6)), Group: logic.GroupID(e.u16(10)),
 			Primary: e.f32(13) == 1, Size: float64(e.f32(17)), Born: micros64(e.u64(21))}
 		switch e.u8(12) {
 		case 1:
@@ -224,63 +232,66 @@
 		}
 		list = append(list, m)
 	}
-	d.sheets[ref] = list
+	d.lists[number] = list
 	return nil
 }
 
-var scopes = [...]logic.ListKind{logic.ListDelta, logic.ListFull, logic.ListCached, logic.ListFailed}
+// listKinds maps the scope code of a list event to its kind.
+var listKinds = [...]logic.ListKind{logic.ListDelta, logic.ListFull, logic.ListCached, logic.ListFailed}
 
-func (d *Decoder) decode(b Batch, rec record, sc Scale, e *Event) (err error) {
+// decode decodes every event except codeDefineList.
+func (d *Decoder) decode(b Batch, rec record, format Scale, e *Event) (err error) {
 	switch rec.u8(0) {
-	case codeHello:
+	case codeInstanceStart:
 		e.Kind, e.Seed = Hello, rec.u64(5)
-		e.Settings, err = b.span(rec.u32(13), rec.u32(17), 1)
-	case codeRetire:
+		e.Settings, err = b.tailSpan(rec.u32(13), rec.u32(17), 1)
+	case codeInstanceStop:
 		e.Kind = Retire
-	case codeRoster:
+	case codeMembers:
 		e.Kind = Members
-		scope, ref := rec.u8(5), rec.u8(10)
-		if int(scope) >= len(scopes) {
+		scope, number := rec.u8(5), rec.u8(10)
+		if int(scope) >= len(listKinds) {
 			return fmt.Errorf("list scope %d is unknown", scope)
 		}
-		e.List.Kind = scopes[scope]
+		e.List.Kind = listKinds[scope]
 		if e.List.Kind != logic.ListFailed {
-			if ref >= maxSheets {
-				return fmt.Errorf("list number %d is above %d", ref, maxSheets-1)
+			if number >= maxLists {
+				return fmt.Errorf("list number %d is above %d", number, maxLists-1)
 			}
-			e.List.Entries = d.sheets[ref]
+			e.List.Entries = d.lists[number]
 		}
-	case codeSubmit:
+	case codeRequest:
 		e.Kind = Submit
 		e.Request = logic.Request{ID: logic.RequestID(rec.u64(5)), Class: int(rec.u16(13)),
 			Tenant: int(rec.u16(15)), Session: logic.SessionID(rec.u64(17)), Deadline: micros64(rec.u64(25)),
-			Group: logic.GroupID(rec.f32(37)), TokenAge: millis(rec.f32(41)), Retry: rec.u8(45)&2 != 0}
-	case codeHead:
+			Group: logic.GroupID(rec.f32(37)), TokenAge: tokenAge(rec.f32(41)), Retry: rec.u8(45)&2 != 0}
+	case codeAnswerStarted:
 		e.Kind, e.ID, e.Attempt = Head, logic.RequestID(rec.u64(5)), int(rec.u8(13))
 	case codeTimer:
 		e.Kind, e.Timer = Timer, logic.TimerID(rec.u64(5))
-	case codePong:
+	case codeProbeResult:
 		e.Kind = Probed
-		e.Probed = logic.Probed{Member: rec.member(7), Took: rec.micros(13), Report: sc.report(rec, 17)}
-		e.Probed.Result, err = result(rec.u16(5))
-	case codeEnd:
+		e.Probed = logic.Probed{Member: rec.memberID(7), Took: rec.micros(13), Report: format.parseReport(rec, 17)}
+		e.Probed.Result, err = parseResult(rec.u16(5))
+	case codeAttemptEnd:
 		e.Kind = Outcome
 		e.Outcome = logic.Outcome{Request: logic.RequestID(rec.u64(5)), Attempt: int(rec.u8(17)),
-			Member: rec.member(18), Took: rec.micros(24), Finished: rec.u8(28) != 0, Load: sc.report(rec, 31)}
-		e.Outcome.Role, e.Outcome.Position = sc.note(rec.u32(13))
-		e.Outcome.Result, err = result(rec.u16(29))
+			Member: rec.memberID(18), Took: rec.micros(24), Finished: rec.u8(28) != 0, Load: format.parseReport(rec, 31)}
+		e.Outcome.Role, e.Outcome.Position = format.note(rec.u32(13))
+		e.Outcome.Result, err = parseResult(rec.u16(29))
 	case codeAbandoned:
 		e.Kind, e.ID = Abandoned, logic.RequestID(rec.u64(5))
 	case codeDatagram:
 		e.Kind = Datagram
-		_, err = b.span(rec.u32(9), rec.u32(13), 1)
+		_, err = b.tailSpan(rec.u32(9), rec.u32(13), 1)
 	default:
 		return errors.New("unknown event code")
 	}
 	return err
 }
 
-func result(code uint16) (logic.Result, error) {
+// parseResult converts the outcome code of an attempt or probe.
+func parseResult(code uint16) (logic.Result, error) {
 	switch code {
 	case 100:
 		return logic.OK, nil
@@ -304,25 +315,29 @@
 	return 0, fmt.Errorf("outcome code %d is unknown", code)
 }
 
-// millis rounds the age of a commit down, so that the commit is never taken for older than it is; anything
-// above zero stays above zero, since zero means that there is none.
-func millis(ms float32) time.Duration {
+// tokenAge converts the age of a session's last commit, in milliseconds. It rounds down, so that the commit is never
+// taken for older than it is. A positive age stays positive, since zero means that there is no commit. Values that
+// are not a plausible age count as none.
+func tokenAge(ms float32) time.Duration {
 	if !(ms > 0) || ms > 1e12 {
 		return 0
 	}
-	down := float64(math.Nextafter32(ms, 0)) * float64(time.Millisecond)
-	return max(time.Duration(down), 1)
+	roundedDown := float64(math.Nextafter32(ms, 0)) * float64(time.Millisecond)
+	return max(time.Duration(roundedDown), 1)
 }
 
-func (sc Scale) note(note uint32) (logic.Role, time.Duration) {
-	role := roleOf(note & 3)
+// note decodes the field with a member's role (the lowest two bits) and its position in milliseconds since Origin (the
+// other bits; 0 = not reported).
+func (format Scale) note(note uint32) (logic.Role, time.Duration) {
+	role := parseRole(note & 3)
 	if ms := note >> 2; ms != 0 {
-		return role, sc.Origin + time.Duration(ms)*time.Millisecond
+		return role, format.Origin + time.Duration(ms)*time.Millisecond
 	}
 	return role, 0
 }
 
-func roleOf(v uint32) logic.Role {
+// parseRole converts a role code.
+func parseRole(v uint32) logic.Role {
 	switch v {
 	case 1:
 		return logic.RolePrimary
@@ -332,17 +347,18 @@
 	return logic.RoleUnknown
 }
 
-// report reads a load report. A position may have been rounded up to a 32-bit float: it is taken one step down.
-func (sc Scale) report(rec record, at int) logic.Report {
+// parseReport decodes the load report at offset at: the number of values and up to four 32-bit floats. A position may
+// have been rounded up to a 32-bit float, so the next smaller float is used.
+func (format Scale) parseReport(rec record, at int) logic.Report {
 	out := logic.Report{Queue: -1}
 	n := int(rec.u8(at))
-	for i := 0; i < n && i < 4 && i < len(sc.Fields); i++ {
+	for i := 0; i < n && i < 4 && i < len(format.Fields); i++ {
 		v := rec.f32(at + 1 + 4*i)
-		switch sc.Fields[i] {
+		switch format.Fields[i] {
 		case "x0":
 			if v > 0 && v < 1e9 {
 				sec := float64(math.Nextafter32(v, 0))
-				out.Position = sc.Origin + time.Duration(sec*float64(time.Second))
+				out.Position = format.Origin + time.Duration(sec*float64(time.Second))
 			}
 		case "x1":
 			out.Role = logic.RoleReplica
@@ -356,17 +372,18 @@
 	return out
 }
 
-// Encoder gathers the actions of one reply. It implements logic.Actions for one instance at a time.
+// Encoder collects the actions of one reply frame. It implements logic.Actions for one instance at a time.
 type Encoder struct {
-	Instance uint32
+	Instance uint32 // the instance that the next actions come from
 	records  []byte
-	tail     []byte
+	tail     []byte // texts that records refer to by offset and length
 	count    uint32
 }
 
-func (e *Encoder) add(code uint8) record {
+// addRecord appends an action of the current instance and returns its record, to be filled in.
+func (e *Encoder) addRecord(code uint8) record {
 	at := len(e.records)
-	e.records = append(e.records, make([]byte, actionLen)...)
+	e.records = append(e.records, make([]byte, actionRecordSize)...)
 	rec := record(e.records[at:])
 	rec[0] = code
 	binary.LittleEndian.PutUint32(rec[1:], e.Instance)
@@ -376,90 +393,92 @@
 
 func (r record) putU32(at int, v uint32) { binary.LittleEndian.PutUint32(r[at:], v) }
 func (r record) putU64(at int, v uint64) { binary.LittleEndian.PutUint64(r[at:], v) }
-func (r record) putMember(at int, m logic.MemberID) {
+func (r record) putMemberID(at int, m logic.MemberID) {
 	binary.BigEndian.PutUint32(r[at:], uint32(m>>16))
 	binary.LittleEndian.PutUint16(r[at+4:], uint16(m))
 }
 
+// putMicros writes a duration in microseconds, limited to the range of 32 bits.
 func (r record) putMicros(at int, d time.Duration) {
 	r.putU32(at, uint32(min(max(d/time.Microsecond, 0), math.MaxUint32)))
 }
 
 // Send implements logic.Actions.
 func (e *Encoder) Send(id logic.RequestID, to logic.MemberID, timeout, _ time.Duration) {
-	rec := e.add(actDeliver)
+	rec := e.addRecord(actionSend)
 	rec.putU64(5, uint64(id))
-	rec.putMember(13, to)
+	rec.putMemberID(13, to)
 	rec.putMicros(19, timeout)
 }
 
 // Probe implements logic.Actions.
-func (e *Encoder) Probe(to logic.MemberID) { e.add(actProbe).putMember(5, to) }
+func (e *Encoder) Probe(to logic.MemberID) { e.addRecord(actionProbe).putMemberID(5, to) }
 
 // Refuse implements logic.Actions.
-func (e *Encoder) Refuse(id logic.RequestID, comeBack time.Duration, _ logic.Refusal) {
-	rec := e.add(actBusy)
+func (e *Encoder) Refuse(id logic.RequestID, retryAfter time.Duration, _ logic.Refusal) {
+	rec := e.addRecord(actionRefuse)
 	rec.putU64(5, uint64(id))
-	rec.putMicros(13, comeBack)
+	rec.putMicros(13, retryAfter)
 }
 
 // Fail implements logic.Actions.
-func (e *Encoder) Fail(id logic.RequestID) { e.add(actFinish).putU64(5, uint64(id)) }
+func (e *Encoder) Fail(id logic.RequestID) { e.addRecord(actionFail).putU64(5, uint64(id)) }
 
 // Cancel implements logic.Actions.
 func (e *Encoder) Cancel(id logic.RequestID, attempt int) {
-	rec := e.add(actRevoke)
+	rec := e.addRecord(actionCancel)
 	rec.putU64(5, uint64(id))
 	rec[13] = uint8(attempt)
 }
 
-// SetTimer implements logic.Actions.
+// SetTimer implements logic.Actions. The time is rounded up to microseconds, so that the timer doesn't expire early.
 func (e *Encoder) SetTimer(id logic.TimerID, at time.Duration) {
-	rec := e.add(actAlarm)
+	rec := e.addRecord(actionSetTimer)
 	rec.putU64(5, uint64(id))
 	rec.putU64(13, uint64((at+time.Microsecond-1)/time.Microsecond))
 }
 
 // Watch implements logic.Actions.
 func (e *Encoder) Watch(on bool) {
-	if rec := e.add(actObserve); on {
+	if rec := e.addRecord(actionWatch); on {
 		rec[5] = 1
 	}
 }
 
 // Fetch implements logic.Actions.
-func (e *Encoder) Fetch() { e.add(actPull) }
+func (e *Encoder) Fetch() { e.addRecord(actionFetch) }
 
 // Log implements logic.Actions.
-func (e *Encoder) Log(text string) { e.text(actRecord, text) }
+func (e *Encoder) Log(text string) { e.text(actionLog, text) }
 
-// GiveIn tells the simulator that this instance can't go on.
-func (e *Encoder) GiveIn(text string) { e.text(actGiveIn, text) }
+// GiveIn tells the simulator that this instance can't continue, and why.
+func (e *Encoder) GiveIn(text string) { e.text(actionAbort, text) }
 
-// ShutIdle closes the idle connections to a member.
-func (e *Encoder) ShutIdle(m logic.MemberID) { e.add(actShut).putMember(5, m) }
+// ShutIdle asks the simulator to close the instance's idle connections to a member.
+func (e *Encoder) ShutIdle(m logic.MemberID) { e.addRecord(actionCloseIdle).putMemberID(5, m) }
 
-// Share sends bytes to the instance numbered target.
+// Share sends contents to the instance with the number target.
 func (e *Encoder) Share(target uint32, contents string) {
-	rec := e.text(actShare, contents)
+	rec := e.text(actionDatagram, contents)
 	copy(rec[9:17], rec[5:13])
 	rec.putU32(5, target)
 }
 
+// text appends an action that refers to a text, which it appends to the tail.
 func (e *Encoder) text(code uint8, text string) record {
-	rec := e.add(code)
+	rec := e.addRecord(code)
 	rec.putU32(5, uint32(len(e.tail)))
 	rec.putU32(9, uint32(len(text)))
 	e.tail = append(e.tail, text...)
 	return rec
 }
 
-// Flush writes the reply and starts an empty one.
+// Flush writes the collected actions as one reply frame to w and starts an empty one.
 func (e *Encoder) Flush(w *bufio.Writer) error {
-	var head [actionHead]byte
-	binary.LittleEndian.PutUint32(head[:], e.count)
-	binary.LittleEndian.PutUint32(head[4:], uint32(actionHead+len(e.records)+len(e.tail)))
-	w.Write(head[:])
+	var header [actionHeaderSize]byte
+	binary.LittleEndian.PutUint32(header[:], e.count)
+	binary.LittleEndian.PutUint32(header[4:], uint32(actionHeaderSize+len(e.records)+len(e.tail)))
+	w.Write(header[:])
 	w.Write(e.records)
 	w.Write(e.tail)
 	e.records, e.tail, e.count = e.records[:0], e.tail[:0], 0
--- a/internal/wire/sim/sim_test.go
+++ b/internal/wire/sim/sim_test.go
@@ -14,7 +14,7 @@
 	"havenproxy/logic"
 )
 
-// unhex turns a frame written by hand, with blanks, into bytes; each record is filled up to its size.
+// unhex decodes records written in hexadecimal with blanks, and pads each with zeros to size bytes.
 func unhex(t testing.TB, size int, parts ...string) []byte {
 	t.Helper()
 	var out []byte
@@ -28,18 +28,19 @@
 	return out
 }
 
-// frame makes a batch at clock 0x805c5a of the given records and tail.
+// frame returns a batch frame with the given records and tail, at clock time 0x805c5a.
 func frame(t testing.TB, tail string, records ...string) []byte {
-	body := unhex(t, eventSize, records...)
+	body := unhex(t, eventRecordSize, records...)
 	end := unhex(t, 0, tail)
-	head := make([]byte, eventHead)
-	binary.LittleEndian.PutUint32(head, uint32(eventHead+len(body)+len(end)))
-	binary.LittleEndian.PutUint64(head[4:], 0x805c5a)
-	binary.LittleEndian.PutUint32(head[12:], uint32(len(records)))
-	return append(append(head, body...), end...)
+	header := make([]byte, eventHeaderSize)
+	binary.LittleEndian.PutUint32(header, uint32(eventHeaderSize+len(body)+len(end)))
+	binary.LittleEndian.PutUint64(header[4:], 0x805c5a)
+	binary.LittleEndian.PutUint32(header[12:], uint32(len(records)))
+	return append(append(header, body...), end...)
 }
 
-func decodeAll(in []byte, sc Scale) (events []Event, err error) {
+// decodeAll decodes all frames of an input. The member lists are copied, since they are valid only in the callback.
+func decodeAll(in []byte, format Scale) (events []Event, err error) {
 	d := NewDecoder(bytes.NewReader(in))
 	for {
 		b, err := d.Next()
@@ -49,7 +50,7 @@
 		if err != nil {
 			return events, err
 		}
-		err = d.Each(b, func(uint32) (Scale, bool) { return sc, true }, func(e Event) error {
+		err = d.Each(b, func(uint32) (Scale, bool) { return format, true }, func(e Event) error {
 			e.List.Entries = append([]logic.Member(nil), e.List.Entries...)
 			events = append(events, e)
 			return nil
@@ -60,7 +61,7 @@
 	}
 }
 
-func TestEventsFromHandMadeFrames(t *testing.T) {
+func TestDecodeEvents(t *testing.T) {
 	in := frame(t, "",
 		"17 03000000 c4913a5da5d20f00 0100 0200 640ad2557c3bf091 da05840000000000 e02e0000 00003041 0040ce43 03",
 		"12 03000000 4d00000000000000",
@@ -89,7 +90,7 @@
 	}
 }
 
-func TestSheetsAreReusedWithinABatch(t *testing.T) {
+func TestListNumberIsRedefinedWithinABatch(t *testing.T) {
 	a := "0a124a07 c32b 0100 0000 0b00 01 0000803f 0000803f 0000000000000000"
 	b := "0a9011f2 ec2b 0100 0000 0c00 02 00000000 0000c03f 20145d0000000000"
 	in := frame(t, a+b,
@@ -116,16 +117,16 @@
 
 func TestReportsRoundPositionsDown(t *testing.T) {
 	x0 := float32(1234.5678)
-	rec := make(record, eventSize)
-	rec[0] = codePong
+	rec := make(record, eventRecordSize)
+	rec[0] = codeProbeResult
 	binary.LittleEndian.PutUint16(rec[5:], 100)
 	rec[17] = 3
 	rec.putU32(18, math.Float32bits(x0))
 	rec.putU32(22, math.Float32bits(1))
 	rec.putU32(26, math.Float32bits(4))
-	sc := Scale{Origin: time.Hour, Fields: []string{"x0", "x1", "queue"}}
+	format := Scale{Origin: time.Hour, Fields: []string{"x0", "x1", "queue"}}
 	var e Event
-	if err := new(Decoder).decode(Batch{}, rec, sc, &e); err != nil {
+	if err := new(Decoder).decode(Batch{}, rec, format, &e); err != nil {
 		t.Fatal(err)
 	}
 	got, exact := e.Probed.Report, time.Hour+time.Duration(float64(x0)*1e9)
@@ -133,19 +134,19 @@
 		t.Errorf("%+v, want a position just under %v", got, exact)
 	}
 	rec[17] = 0
-	if err := new(Decoder).decode(Batch{}, rec, sc, &e); err != nil || e.Probed.Report != (logic.Report{Queue: -1}) {
+	if err := new(Decoder).decode(Batch{}, rec, format, &e); err != nil || e.Probed.Report != (logic.Report{Queue: -1}) {
 		t.Errorf("empty report: %+v, error %v", e.Probed.Report, err)
 	}
 }
 
-func TestBrokenFramesAreNamed(t *testing.T) {
+func TestCorruptFramesAreReported(t *testing.T) {
 	ok := frame(t, "", "12 03000000 4d00000000000000")
 	short := append([]byte(nil), ok...)
 	binary.LittleEndian.PutUint32(short, 17)
 	huge := append([]byte(nil), ok...)
 	binary.LittleEndian.PutUint32(huge, 0xffffffff)
-	promised := append([]byte(nil), ok...)
-	binary.LittleEndian.PutUint32(promised, maxFrame)
+	falseLength := append([]byte(nil), ok...)
+	binary.LittleEndian.PutUint32(falseLength, maxFrameSize)
 	for name, c := range map[string]struct {
 		in   []byte
 		want string
@@ -154,11 +155,11 @@
 		"cut body":       {ok[:40], "input ends after"},
 		"length short":   {short, "can't hold"},
 		"length huge":    {huge, "can't hold"},
-		"length a lie":   {promised, "input ends after"},
+		"false length":   {falseLength, "input ends after"},
 		"unknown event":  {frame(t, "", "63 03000000"), "unknown event code"},
 		"outside tail":   {frame(t, "00", "10 00 00000000 01000000"), "outside the tail"},
 		"offset wraps":   {frame(t, "00", "13 03000000 0000000000000000 ffffffff ffffffff"), "outside the tail"},
-		"sheet number":   {frame(t, "", "10 10 00000000 00000000"), "above 15"},
+		"list number":    {frame(t, "", "10 10 00000000 00000000"), "above 15"},
 		"list scope":     {frame(t, "", "11 03000000 07 29000000 00"), "scope 7"},
 		"unknown result": {frame(t, "", "14 03000000 0700"), "outcome code 7"},
 	} {
@@ -167,7 +168,7 @@
 		}
 	}
 	if ev, err := decodeAll(frame(t, ""), Scale{}); err != nil || len(ev) != 0 {
-		t.Errorf("an empty batch gave %d events and %v", len(ev), err)
+		t.Errorf("empty batch: %d events, error %v", len(ev), err)
 	}
 	d := NewDecoder(bytes.NewReader(ok))
 	b, _ := d.Next()
@@ -177,7 +178,7 @@
 	}
 }
 
-func TestActionsMatchThePage(t *testing.T) {
+func TestEncodeActions(t *testing.T) {
 	var e Encoder
 	e.Instance = 3
 	id, m := logic.RequestID(0xfd2a55d3a91c4), logic.MemberID(0x0a124a07)<<16|0x2bc3
@@ -194,7 +195,7 @@
 	e.ShutIdle(m)
 	e.Share(0xffffffff, "hi 7")
 	e.GiveIn("no")
-	want := unhex(t, actionLen,
+	want := unhex(t, actionRecordSize,
 		"10 03000000 c4913a5da5d20f00 0a124a07 c32b 80380100",
 		"14 03000000 4d00000000000000 7afd870000000000",
 		"18 03000000 00000000 11000000",
@@ -221,10 +222,12 @@
 
 func FuzzDecode(f *testing.F) {
 	f.Add(frame(f, "", "12 03000000 4d00000000000000"))
-	f.Add(frame(f, "0a124a07c32b010000000b00010000803f0000803f0000000000000000", "10 00 00000000 01000000", "11 03000000 02 29000000 00"))
+	f.Add(frame(f, "0a124a07c32b010000000b00010000803f0000803f0000000000000000",
+		"10 00 00000000 01000000", "11 03000000 02 29000000 00"))
 	f.Add(frame(f, "7b7d", "13 03000000 0700000000000000 00000000 02000000"))
 	f.Add(frame(f, "", "14 03000000 6400 0a124a07c32b 00010000 04 0000c07f 0000807f 000080ff 00000080"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		decodeAll(in, Scale{Fields: []string{"x0", "x1", "queue"}}) // must neither panic nor allocate by a false length
+		// Decoding must not panic, and must not allocate memory for a false length.
+		decodeAll(in, Scale{Fields: []string{"x0", "x1", "queue"}})
 	})
 }
