--- a/logic/api.go
+++ b/logic/api.go
@@ -2,81 +2,81 @@
 
 import "time"
 
-// All times are durations on the front's own clock, which starts anywhere and only moves forward.
-// All ids are opaque: the router compares them and hands them back, nothing more.
+// All times are durations on the proxy's monotonic clock, whose zero is arbitrary.
+// All IDs are opaque: the router only compares them and returns them.
 type (
-	// MemberID names one process of a group; a machine that replaces another has a new one.
+	// MemberID identifies one member of a group; a machine that replaces another gets a new ID.
 	MemberID uint64
-	// RequestID names one try of a client; it is never reused.
+	// RequestID identifies one request; a retry by the client has a new ID, and IDs are never reused.
 	RequestID uint64
-	// SessionID ties a session's writes and reads together; 0 means none.
+	// SessionID links a session's writes to its later reads; 0 means no session.
 	SessionID uint64
-	// GroupID names a set of members that hold the same data.
+	// GroupID identifies a set of members that replicate the same data.
 	GroupID int
-	// TimerID is chosen by the router and handed back by Timer.
+	// TimerID is chosen by the router and passed back in Events.Timer.
 	TimerID uint64
 )
 
-// Role is what a member was when it last spoke.
+// Role is the replication role that a member last reported.
 type Role uint8
 
-// The roles of a member.
+// The replication roles.
 const (
 	RoleUnknown Role = iota
 	RolePrimary
 	RoleReplica
 )
 
-// Freshness says what data a request class needs.
+// Freshness is what a request class requires of the data it reads, or that it writes.
 type Freshness uint8
 
-// The kinds of request class.
+// The freshness requirements.
 const (
-	Any     Freshness = iota // any member's data will do
-	Bounded                  // data at most Class.MaxAge old when sent
-	Session                  // all that the session has written
-	Fresh                    // all that was committed before the request arrived
-	Write                    // only the primary takes it
+	Any     Freshness = iota // any member's data, however old
+	Bounded                  // data at most Class.MaxAge old at the time of sending
+	Session                  // includes all writes of the session
+	Fresh                    // includes all commits made before the request arrived
+	Write                    // not a read: only the primary accepts it
 )
 
-// Effect says what a repeated attempt does.
+// Effect tells whether a request may be executed more than once.
 type Effect uint8
 
-// The kinds of effect.
+// The kinds of effects.
 const (
 	Free       Effect = iota // safe to repeat
-	Guarded                  // carries a key; repeats are dropped for Class.DedupWindow
-	SingleShot               // must never run twice
+	Guarded                  // carries an idempotency key; members drop duplicates for Class.DedupWindow
+	SingleShot               // must never be executed twice
 )
 
-// KeyScope says which members drop the repeats of a Guarded class.
+// KeyScope tells which members recognize a duplicate of a request with an idempotency key.
 type KeyScope uint8
 
-// The scopes of a key.
+// The scopes of an idempotency key.
 const (
 	ScopeAll  KeyScope = iota // all members
 	ScopeZone                 // members of the same zone
 	ScopeCell                 // members of the same group
 )
 
-// Checks says what a member does with a read for which it lags too far behind.
+// Checks is what a member does with a read if its replication lag is too large for it.
 type Checks uint8
 
 // The kinds of member-side checks.
 const (
-	ChecksNone   Checks = iota // answers from what it has
-	ChecksRefuse               // answers OutcomeMiss at once
-	ChecksWait                 // waits a little, then OutcomeMiss
+	ChecksNone   Checks = iota // answers from the data it has
+	ChecksRefuse               // ends the attempt with Miss at once
+	ChecksWait                 // waits a little to catch up, then ends the attempt with Miss
 )
 
-// ListRole says how far the member list tells who is primary.
+// ListRole tells whether the member list names the primary, and how current that is.
 type ListRole uint8
 
-// The kinds of role in lists.
+// The kinds of role information in the member list.
 const (
-	ListRoleNone  ListRole = iota // never
-	ListRoleStart                 // as it was at the start
-	ListRoleLate                  // seconds late
+	ListRoleNone  ListRole = iota // not named
+	ListRoleStart                 // the primary at the start, never updated
+	ListRoleLate                  // the current primary, seconds late
 )
 
 // Class describes one class of request.
@@ -84,8 +84,8 @@
 	Name        string
 	Read        Freshness
 	MaxAge      time.Duration // for Bounded
-	Aim         time.Duration // answers within it earn the full worth
-	Limit       time.Duration // the client's patience over all its tries
+	Aim         time.Duration // target latency; answers within it earn the full worth
+	Limit       time.Duration // how long the client waits, over all its retries
 	Effect      Effect
 	Scope       KeyScope
 	DedupWindow time.Duration
@@ -93,115 +93,115 @@
 	Stream      bool
 }
 
-// Tenant describes one customer.
+// Tenant describes one tenant of the deployment.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second over all fronts; 0 = no quota
+	Quota float64 // requests per second over all proxies; 0 = no quota
 }
 
-// Config is all that a router is told at its start. Every field is a fact about the deployment; the zero
-// value of an optional one means "not so" or "none".
+// Config is the configuration of a router. Every field is a fact about the deployment; the zero value of an
+// optional field means "no" or "none".
 type Config struct {
 	Seed   uint64 // for the router's own random numbers
-	Fronts int    // how many fronts share the traffic
-	Zone   int    // the zone of this front
+	Fronts int    // number of proxies that share the traffic
+	Zone   int    // zone of this proxy
 
 	Classes   []Class
 	Tenants   []Tenant
-	OverShare float64 // worth of a request beyond its tenant's share, as a part of its class's
+	OverShare float64 // worth of a request over its tenant's quota, as a fraction of its class's Worth
 
-	Tick     time.Duration // the front hands over events no more often than this
-	Pull     bool          // the member list comes only when asked for (Watch, Fetch)
-	Agent    bool          // who is asked holds it ready on this machine, at no cost to others
+	Tick     time.Duration // the proxy delivers events at most once per tick
+	Pull     bool          // the member list must be requested (Watch, Fetch); otherwise it is pushed
+	Agent    bool          // a local agent serves the list from memory, so frequent calls cost nobody else
 	ListRole ListRole
-	Carried  bool // requests carry their session's token; otherwise the router remembers commits
+	Carried  bool // requests carry their session's token; otherwise the router tracks commits
 	Checks   Checks
 
 	MayProbe    bool
 	MayCancel   bool
-	Parallel    bool // two attempts of one request may be out together
-	MayComeBack bool // clients are told when to come back
+	Parallel    bool // a request may have two attempts in flight at once
+	MayComeBack bool // a refusal may carry a retry-after hint
 	MaxAttempts int
-	MaxComeBack time.Duration // longest hint that clients heed
+	MaxComeBack time.Duration // longest retry-after hint that clients respect
 
-	Cold         time.Duration // a started member is warm after this at most
-	ColdShare    float64       // a started member's capacity is at least this part of its usual one
-	FallMultiple float64       // a cold member that is sent more than this times its capacity falls over
-	DrainOnly    bool          // only a listed drain binds, "gone" doesn't
+	Cold         time.Duration // a restarted member is warm after at most this time
+	ColdShare    float64       // least capacity of a cold member, as a fraction of its warm capacity
+	FallMultiple float64       // a cold member fails if it is sent more than this many times its capacity
+	DrainOnly    bool          // the list is authoritative only for draining, not for gone
 }
 
-// Refusal says why a request is refused.
+// Refusal is the reason why a request is refused.
 type Refusal uint8
 
 // The reasons for a refusal.
 const (
-	RefusedNoTime    Refusal = iota // too little is left of the client's time, or no further attempt is allowed
-	RefusedNoPrimary                // the class needs the primary, and none is known that can be used
-	RefusedCrowded                  // no member that may serve it has room
+	RefusedNoTime    Refusal = iota // too little time before the deadline, or no further attempt allowed
+	RefusedNoPrimary                // the class needs the primary, and no usable one is known
+	RefusedCrowded                  // every member that may serve the request is at its limit
 )
 
-// hint tells a client how long to stay away.
-func (r Refusal) hint() time.Duration {
+// retryAfter returns how long the client should wait before it retries; 0 means no hint.
+func (r Refusal) retryAfter() time.Duration {
 	switch r {
 	case RefusedNoPrimary:
-		return hintNoPrimary
+		return retryAfterNoPrimary
 	case RefusedCrowded:
-		return hintCrowded
+		return retryAfterOverload
 	}
 	return 0
 }
 
-// Request is one try of a client.
+// Request is one query of a client.
 type Request struct {
 	ID       RequestID
 	Class    int // index into Config.Classes
 	Tenant   int // index into Config.Tenants
 	Group    GroupID
 	Session  SessionID
-	Deadline time.Duration // when the client gives this try up
-	TokenAge time.Duration // Config.Carried: how long ago the session's last write was committed; 0 = none
-	Retry    bool          // the client says that it is a repeat
+	Deadline time.Duration // when the client gives up waiting for this request
+	TokenAge time.Duration // with Config.Carried: time since the session's last commit; 0 = none
+	Retry    bool          // the client marked it as a retry
 }
 
 // Result is how an attempt or a probe ended.
 type Result uint8
 
-// The results. NeverRan tells which of them prove that the attempt had no effect.
+// The results; NeverRan tells which of them prove that the request was not executed.
 const (
 	OK            Result = iota
-	Miss                 // turned away untouched: not the primary, or too far behind
-	Failed               // the member answered with an error; it may have run
-	Full                 // turned away unseen: queue full or draining
-	TimedOut             // no answer in time; it may have run
-	ConnectFailed        // no connection could be made
-	Reset                // the connection broke; it may have run
-	Cancelled            // withdrawn; it may have run
-	Moot                 // never sent
+	Miss                 // rejected, not executed: the member is not the primary, or lags too far behind
+	Failed               // the member answered with an error; may have been executed
+	Full                 // rejected, not executed: the queue is full, or the member is draining
+	TimedOut             // no answer in time; may have been executed
+	ConnectFailed        // no connection could be opened
+	Reset                // the connection was lost; may have been executed
+	Cancelled            // cancelled by the router; may have been executed
+	Moot                 // not sent by the proxy
 )
 
-// NeverRan tells whether the result proves that nothing ran.
+// NeverRan tells whether the result proves that the request was not executed.
 func (r Result) NeverRan() bool {
 	return r == Miss || r == Full || r == ConnectFailed || r == Moot
 }
 
-// Outcome is the end of one attempt; every Send gets exactly one.
+// Outcome is the end of one attempt; every Send is followed by exactly one.
 type Outcome struct {
 	Request  RequestID
-	Attempt  int // 0 for the request's first Send, then 1, 2 ...
+	Attempt  int // 0 for the request's first Send, then 1, 2, ...
 	Member   MemberID
 	Result   Result
 	Took     time.Duration
-	Finished bool          // the request has had its final answer; a first OK gives it by itself
-	Role     Role          // what the answer told of the member's role
-	Position time.Duration // all commits up to then are applied (rounded down); of an OK write: its commit
-	Load     Report        // where answers carry reports
+	Finished bool          // the client has its final answer; the first OK always is one
+	Role     Role          // the member's role according to the answer
+	Position time.Duration // all commits up to then are applied (rounded down); for an OK write: its commit
+	Load     Report        // set where answers carry load reports
 }
 
-// Report is what a member says of itself, somewhat old.
+// Report is what a member reports about itself; it may be slightly out of date.
 type Report struct {
 	Role     Role
-	Position time.Duration // 0 = not told; never later than the truth
-	Queue    float64       // requests waiting; negative = not told
+	Position time.Duration // 0 = unknown; a lower bound of the true position
+	Queue    float64       // number of requests waiting; negative = unknown
 }
 
 // Probed is the result of one Probe.
@@ -212,10 +212,10 @@
 	Report Report
 }
 
-// MemberState is what the list knows of a member's process.
+// MemberState is a member's state according to the member list.
 type MemberState uint8
 
-// The states of a listed member.
+// The states of a member.
 const (
 	Gone MemberState = iota
 	Ready
@@ -233,46 +233,48 @@
 	Born    time.Duration // when its process last started; 0 = long ago
 }
 
-// ListKind says how a list event relates to what came before.
+// ListKind tells how a list event relates to the previous ones.
 type ListKind uint8
 
 // The kinds of list events.
 const (
-	ListDelta  ListKind = iota // changed entries only
+	ListDelta  ListKind = iota // only the entries that changed
 	ListFull                   // the whole list
-	ListCached                 // the whole list as last held, perhaps out of date
-	ListFailed                 // a call failed or the watch broke; nothing is changed
+	ListCached                 // the whole list from a cache, possibly out of date
+	ListFailed                 // a call failed or the watch was lost; the list is unchanged
 )
 
-// List is news of the members.
+// List is an update of the member list.
 type List struct {
 	Kind    ListKind
 	Entries []Member // valid only during the call
 }
 
-// Events are what a front tells its router. Calls must come one at a time, with a clock that never goes back.
+// Events are the notifications that a proxy delivers to its router. Calls must not overlap, and now must
+// never decrease from one call to the next.
 type Events interface {
 	Members(now time.Duration, l List)
 	Request(now time.Duration, q Request)
-	Started(now time.Duration, id RequestID, attempt int) // a streamed answer has begun
+	Started(now time.Duration, id RequestID, attempt int) // the first part of a streamed answer has arrived
 	Outcome(now time.Duration, o Outcome)
 	Probed(now time.Duration, p Probed)
 	Timer(now time.Duration, id TimerID)
-	Abandoned(now time.Duration, id RequestID) // the client left; nothing more is owed
+	Abandoned(now time.Duration, id RequestID) // the client disconnected and expects no answer
 }
 
-// Actions are what a router asks of its front, at the time of the event that it is handling.
+// Actions are the operations that a router requests from its proxy while it handles an event.
 type Actions interface {
-	// Send makes an attempt. What is known of the member makes it fit until the time by, 0 = for good: one that could not
-	// be written by then is not to be sent.
-	Send(id RequestID, to MemberID, timeout, by time.Duration)
+	// Send starts an attempt. The proxy must not send it after notAfter, when the known position of the
+	// member becomes too old for the request; 0 means no limit.
+	Send(id RequestID, to MemberID, timeout, notAfter time.Duration)
 	Probe(to MemberID)
-	// Refuse is a final answer: it is safe to try again, best after comeBack.
-	Refuse(id RequestID, comeBack time.Duration, why Refusal)
-	Fail(id RequestID) // final: nothing is promised about the effect
+	// Refuse gives the final answer that the request failed and is safe to retry, preferably after
+	// retryAfter.
+	Refuse(id RequestID, retryAfter time.Duration, reason Refusal)
+	Fail(id RequestID) // gives the final answer that the request failed; it may have been executed
 	Cancel(id RequestID, attempt int)
 	SetTimer(id TimerID, at time.Duration)
-	Watch(on bool) // ask the list for changes from now on
-	Fetch()        // ask for the whole list once
+	Watch(on bool) // subscribe to changes of the member list, or stop
+	Fetch()        // request the whole member list once
 	Log(text string)
 }
--- a/logic/discovery.go
+++ b/logic/discovery.go
@@ -3,31 +3,33 @@
 import "time"
 
 const (
-	// List calls that fail are spaced out. The pause and what else passes between a silent watch and the next
-	// call's answer stay inside six seconds; at an agent's, inside the half second that a drain grants.
-	askAgainMin   = 250 * time.Millisecond
-	askAgainMax   = 750 * time.Millisecond
-	agentAgainMin = 20 * time.Millisecond
-	agentAgainMax = 100 * time.Millisecond
-	callPatient   = 5 * time.Second // a call without any reply is taken for failed
+	// A failed list call is repeated after a random pause. The time from a lost watch to the answer of
+	// the next call, pause included, must stay below six seconds; with a local agent, below the half
+	// second of notice that a draining member gives.
+	listRetryMin      = 250 * time.Millisecond
+	listRetryMax      = 750 * time.Millisecond
+	agentListRetryMin = 20 * time.Millisecond
+	agentListRetryMax = 100 * time.Millisecond
+	listCallTimeout   = 5 * time.Second // a call without any reply by then counts as failed
 )
 
-func (r *Router) ask(now time.Duration) {
-	r.askAt, r.callAt = 0, now
-	r.act.Watch(true)
+// callList asks the discovery service for the member list and its changes.
+func (r *Router) callList(now time.Duration) {
+	r.nextListCallAt, r.listCallAt = 0, now
+	r.proxy.Watch(true)
 }
 
-// callAnswered follows the one outstanding list call.
-func (r *Router) callAnswered(now time.Duration, kind ListKind) {
+// listCallEnded ends the one pending list call and schedules the next one if it failed.
+func (r *Router) listCallEnded(now time.Duration, kind ListKind) {
 	if !r.cfg.Pull || kind == ListCached {
 		return
 	}
-	r.callAt = 0
+	r.listCallAt = 0
 	if kind == ListFailed {
-		least, most := askAgainMin, askAgainMax
+		minPause, maxPause := listRetryMin, listRetryMax
 		if r.cfg.Agent {
-			least, most = agentAgainMin, agentAgainMax
+			minPause, maxPause = agentListRetryMin, agentListRetryMax
 		}
-		r.askAt = now + least + time.Duration(r.rng.Int64N(int64(most-least)))
+		r.nextListCallAt = now + minPause + time.Duration(r.rng.Int64N(int64(maxPause-minPause)))
 	}
 }
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,9 +1,10 @@
-// Package logic decides where a gateway sends each read and write of replicated database groups.
+// Package logic decides to which member of a replicated database group a proxy sends each read and write.
 //
-// It follows "Driver Read Preferences": a request's class gives its read mode, the group's members are
-// filtered by role and known log position, one of those at most 15 ms slower than the quickest ping is picked
-// at random, and a session's reads stay pinned. Guards around that path act only when something fails; each
-// tells when at its place. The interface is in api.go, what a router keeps is in state.go.
+// It follows "Driver Read Preferences": the request's class determines the read mode, the members of the
+// group are filtered by role and known log position, one is chosen at random among those whose round-trip
+// time is at most 15 ms above the lowest, and the reads of a session stay pinned to a replica. Further
+// mechanisms act only on failures or overload; their doc comments say when. The interface is in api.go,
+// the router's state in state.go.
 package logic
 
 import (
@@ -15,147 +16,155 @@
 )
 
 const (
-	pingWindow = 15 * time.Millisecond // how much slower than the quickest ping a candidate may be
-	longPart   = 3                     // a read of over bound/longPart may push a replica out of the filter
-	readTries  = 3                     // a read's members in all: the first and up to two more
-
-	knownAfter = 100 * time.Millisecond // what an answer tells counts as known so long after its writing
-
-	shareSpan = time.Second // a tenant's traffic is held against its quota over this
-
-	failWeight = 0.2 // two or three failures in a row cross failLimit
-	failLimit  = 0.35
-	benchFor   = time.Second // then one trial
-
-	strainWeight = 0.1 // an answer's weight where they are many;
-	strainRare   = 0.5 // and where many aims have passed since the last one
-	rareAims     = 4.0
-	strainHigh   = 0.5  // of the aim: above, exponential-like answer times begin to miss it in number
-	strainLate   = 2.0  // what an attempt counts that ended without an answer in time
-	limitStart   = 36.0 // what all fronts together may have out at an unknown member,
-	limitOwn     = 3.0  // but no less than this each; a lower limit rises to it by itself, one each limitEase
-	limitEase    = 10 * time.Second
-	limitFloor   = 2.0                    // what they leave a strained one, so that it can show its recovery
-	cutEvery     = 100 * time.Millisecond // let one cut show before the next
-	meritMin     = 0.25                   // what the least class may fill all the same
-	queueLong    = 1.0                    // requests waiting: all that the member works on at once is taken
-	reportLife   = time.Second
-	spillPart    = 0.7 // of the primary's limit that reads may fill; the rest is for writes
-
-	retryPart    = 0.2  // further attempts, of all traffic
-	retryReserve = 30.0 // for a short spell of failures
-
-	hintNoPrimary = 500 * time.Millisecond // a hand-over takes seconds
-	hintCrowded   = 150 * time.Millisecond // a crowd eases in a few service times
-
-	listRoleAge  = 5 * time.Second  // a list's role is seconds old
-	forgetSilent = 30 * time.Second // that a silent member is kept where a list doesn't bind
-
-	fallPart    = 0.5     // of the multiple of its capacity that a cold member may be sent
-	workWeight  = 0.005   // the mix of work, over the last hundreds of requests
-	aimOverCost = 4       // before any answer: aims leave room for a few times the bare work
-	costPart    = 0.3     // the quantile of a class's answer times that stands for its bare work
-	slowPart    = 0.95    // the one past which an answer is overdue
-	costStep    = 0.05    // how fast that estimate moves
-	missWeight  = 0.02    // of one attempt in the share of answers that don't come
-	missLimit   = 0.05    // an ordinary day stays far below
-	keepEntries = 1 << 15 // pins, and commits
-	tickTimer   = TimerID(1)
+	rttWindow             = 15 * time.Millisecond // largest excess of a candidate's RTT over the lowest
+	longReadDivisor       = 3                     // reads above the smallest MaxAge divided by this are long
+	maxAttemptsPerRequest = 3                     // the first attempt and up to two more
+
+	// An answer counts as known to the client this long after the member wrote it, even if the proxy has
+	// not received it.
+	commitKnownAfter = 100 * time.Millisecond
+
+	quotaWindow = time.Second // time constant of a tenant's request rate
+
+	failureWeight    = 0.2         // of one attempt in the moving average
+	failureThreshold = 0.35        // two or three consecutive failures exceed it
+	ejectionTime     = time.Second // until the first trial request
+
+	scoreWeightMin  = 0.1 // of an answer while answers are frequent
+	scoreWeightMax  = 0.5 // of an answer long after the previous one
+	scoreWeightAims = 4.0 // the weight is the time since the previous answer, divided by this many Aims
+	scoreOverloaded = 0.5 // above it many answers miss their Aim, as answer times are roughly exponential
+	scoreLate       = 2.0 // of an attempt without an answer in time
+
+	initialFleetLimit   = 36.0             // attempts of all proxies in flight at a member that is new
+	recoveredProxyLimit = 3.0              // of each proxy at least; a lower limit recovers to it with time
+	limitRecoveryTime   = 10 * time.Second // for each attempt by which a limit recovers
+	// The limits of all proxies together stay above this at an overloaded member, which shows its recovery.
+	minFleetLimit    = 2.0
+	limitCutInterval = 100 * time.Millisecond // lets the effect of one reduction show before the next
+
+	minLimitFraction    = 0.25 // of the limit, for the class that is worth least
+	busyQueueLength     = 1.0  // waiting requests; from there on the member has no free worker
+	queueReportMaxAge   = time.Second
+	primaryReadFraction = 0.7 // of the primary's limit, for reads; the rest is reserved for writes
+
+	retryTokensPerRequest = 0.2  // caps retries at this fraction of requests in the long run
+	maxRetryTokens        = 30.0 // for a short burst of failures
+
+	retryAfterNoPrimary = 500 * time.Millisecond // a failover takes seconds
+	retryAfterOverload  = 150 * time.Millisecond // an overload ends within a few service times
+
+	listRoleDelay           = 5 * time.Second  // assumed age of a role in the list, which is seconds late
+	forgetUnresponsiveAfter = 30 * time.Second // for an unlisted member, if the list is not authoritative
+
+	fallMultipleFraction     = 0.5     // of Config.FallMultiple, as a safety margin for cold members
+	workWeight               = 0.005   // of one request in the moving averages, which span hundreds
+	initialAimPerServiceTime = 4       // before the first answer: an Aim allows several times the service time
+	serviceTimeQuantile      = 0.3     // of a class's answer times, as its service time without queueing
+	overdueQuantile          = 0.95    // of a class's answer times; a later answer is overdue
+	quantileStep             = 0.05    // relative step by which a quantile estimate moves
+	lostAnswerWeight         = 0.02    // of one attempt in Router.lostAnswerRate
+	lostAnswerThreshold      = 0.05    // in normal operation the rate stays far below
+	maxSessionEntries        = 1 << 15 // of pins, and of commits
+	tickTimer                = TimerID(1)
 )
 
-// New makes a router for one front. It sends nothing before its first event.
+// New returns a router for one proxy. It takes no action before its first event.
 func New(cfg Config, actions Actions) (*Router, error) {
-	if err := check(&cfg, actions); err != nil {
+	if err := validateConfig(&cfg, actions); err != nil {
 		return nil, err
 	}
-	r := &Router{cfg: cfg, act: actions, rng: rand.New(rand.NewPCG(cfg.Seed, 0x9e3779b97f4a7c15)),
+	r := &Router{cfg: cfg, proxy: actions, rng: rand.New(rand.NewPCG(cfg.Seed, 0x9e3779b97f4a7c15)),
 		members: map[MemberID]*member{}, groups: map[GroupID]*group{},
-		requests: map[RequestID]*request{}, writing: map[SessionID]int{},
-		cost: make([]time.Duration, len(cfg.Classes)), slow: make([]time.Duration, len(cfg.Classes)),
-		shares: make([]decaying, len(cfg.Tenants)), retries: retryReserve}
-	r.pins.init(keepEntries)
-	r.commits.init(keepEntries)
+		requests: map[RequestID]*request{}, openWrites: map[SessionID]int{},
+		serviceTime: make([]time.Duration, len(cfg.Classes)), overdueAfter: make([]time.Duration, len(cfg.Classes)),
+		tenantUsage: make([]decayingCounter, len(cfg.Tenants)), retryTokens: maxRetryTokens}
+	r.pins.init(maxSessionEntries)
+	r.commits.init(maxSessionEntries)
 	for i, c := range cfg.Classes {
-		r.cost[i], r.slow[i] = c.Aim/aimOverCost, c.Aim
-		if c.Read == Bounded && (r.tightest == 0 || c.MaxAge < r.tightest) {
-			r.tightest = c.MaxAge
+		r.serviceTime[i], r.overdueAfter[i] = c.Aim/initialAimPerServiceTime, c.Aim
+		if c.Read == Bounded && (r.minMaxAge == 0 || c.MaxAge < r.minMaxAge) {
+			r.minMaxAge = c.MaxAge
 		}
 	}
 	return r, nil
 }
 
-// ---- Views: what is known of members and groups ----
+// ---- Members and groups ----
 
-// Members takes in news of the list.
+// Members handles an update of the member list.
 func (r *Router) Members(now time.Duration, l List) {
-	r.begin(now)
-	r.callAnswered(now, l.Kind)
+	r.ensureStarted(now)
+	r.listCallEnded(now, l.Kind)
 	if l.Kind == ListFailed {
 		return
 	}
 	if l.Kind != ListDelta {
-		r.leaving = true
-		for _, m := range r.order {
+		r.hasUnlisted = true
+		for _, m := range r.orderedMembers {
 			m.listed = false
 		}
 	}
 	for _, e := range l.Entries {
-		r.entry(now, e)
+		r.applyListEntry(now, e)
 	}
-	if r.leaving {
+	if r.hasUnlisted {
 		r.forgetUnlisted(now)
 	}
-	r.retryHeld(now)
+	r.resumeWaiting(now)
 }
 
-// forgetUnlisted drops the members that no list names any more, but for those that are still needed.
+// forgetUnlisted removes the members that are no longer listed, except those that are still in use.
 func (r *Router) forgetUnlisted(now time.Duration) {
-	r.leaving = false
-	r.order = slices.DeleteFunc(r.order, func(m *member) bool {
-		if m.listed || r.leftOut(now, m) {
+	r.hasUnlisted = false
+	r.orderedMembers = slices.DeleteFunc(r.orderedMembers, func(m *member) bool {
+		if m.listed || r.handleUnlisted(now, m) {
 			return !m.listed
 		}
-		r.leaving = true
+		r.hasUnlisted = true
 		return false
 	})
 }
 
-func (r *Router) entry(now time.Duration, e Member) {
+// applyListEntry adds or updates the member that an entry of the list describes.
+func (r *Router) applyListEntry(now time.Duration, e Member) {
 	m := r.members[e.ID]
 	if m == nil {
-		g := r.groupOf(e.Group)
-		m = &member{group: g, limit: r.share(limitStart), bankAt: -1}
+		g := r.getOrCreateGroup(e.Group)
+		m = &member{group: g, inFlightLimit: r.proxyShare(initialFleetLimit), coldBudgetUpdatedAt: -1}
 		r.members[e.ID] = m
-		r.order = append(r.order, m)
-		g.members = append(g.members, m) // a Born above zero makes it cold, below
+		r.orderedMembers = append(r.orderedMembers, m)
+		g.members = append(g.members, m) // it is cold if Born is set, see below
 	}
-	if e.Born > m.Born { // restarted: its role is open again, its log goes on from where it stood
+	if e.Born > m.Born { // restarted: its role is unknown, but its position stays valid
 		m.role, m.roleAt = RoleUnknown, e.Born
-		m.coldFrom, m.cold = e.Born, true
+		m.coldSince, m.cold = e.Born, true
 	}
 	m.listed = e.State != Gone
-	r.leaving = r.leaving || !m.listed
-	if r.cfg.DrainOnly && !m.listed { // the list is no proof of what runs: its pings and answers tell
+	r.hasUnlisted = r.hasUnlisted || !m.listed
+	if r.cfg.DrainOnly && !m.listed { // the list doesn't prove that it is gone; its probes and answers decide
 		e.State = m.State
 	}
 	m.Member = e
 	if e.Primary && r.cfg.ListRole != ListRoleNone {
-		// A list is seconds late: it counts only where this front has seen nothing newer itself.
-		at := max(now-listRoleAge, e.Born)
+		// A list is seconds late: its role counts only if the router has observed no newer one itself.
+		at := max(now-listRoleDelay, e.Born)
 		if m.role == RoleUnknown || at > m.roleAt && r.cfg.ListRole == ListRoleLate {
 			m.role, m.roleAt = RolePrimary, at
 		}
 	}
-	r.review(m.group)
+	r.updatePrimary(m.group)
 }
 
-// leftOut treats a member that the list leaves out as gone, if lists bind, and tells whether to forget it.
-func (r *Router) leftOut(now time.Duration, m *member) bool {
+// handleUnlisted marks an unlisted member as gone, if the list is authoritative for that. It removes the
+// member if nothing needs it any longer, and tells whether it did.
+func (r *Router) handleUnlisted(now time.Duration, m *member) bool {
 	if m.State != Gone && !r.cfg.DrainOnly {
 		m.State = Gone
-		r.review(m.group)
+		r.updatePrimary(m.group)
 	}
-	if len(m.out) > 0 || m.probing || m.State == Ready && (!m.silent || now-m.lostAt <= forgetSilent) {
+	if len(m.inFlight) > 0 || m.probing ||
+		m.State == Ready && (!m.unresponsive || now-m.unresponsiveSince <= forgetUnresponsiveAfter) {
 		return false
 	}
 	delete(r.members, m.ID)
@@ -163,90 +172,99 @@
 	return true
 }
 
-// review finds the primary anew: whose word is newest, where ready and not silent. A change voids all pins.
-func (r *Router) review(g *group) {
-	var best *member
+// updatePrimary determines the group's primary: the member with the newest primary role, if it is ready and
+// responsive. A change of primary invalidates all pins.
+func (r *Router) updatePrimary(g *group) {
+	var newest *member
 	for _, m := range g.members {
-		if m.role == RolePrimary && (best == nil || m.roleAt > best.roleAt) {
-			best = m
+		if m.role == RolePrimary && (newest == nil || m.roleAt > newest.roleAt) {
+			newest = m
 		}
 	}
-	if g.primary = nil; best != nil && !best.silent && best.State == Ready {
-		if g.primary = best; best != g.leader { // one that was silent and returns unchanged voids nothing
+	if g.primary = nil; newest != nil && !newest.unresponsive && newest.State == Ready {
+		if g.primary = newest; newest != g.lastPrimary { // pins survive if the same primary responds again
 			g.term++
-			g.leader = best
+			g.lastPrimary = newest
 		}
 	}
 }
 
-// learn takes a role and a position that were true at the time at.
-func (r *Router) learn(m *member, role Role, position, at, now time.Duration) {
+// updateRoleAndPosition records a role and a position that a member had at the time at.
+func (r *Router) updateRoleAndPosition(m *member, role Role, position, at, now time.Duration) {
 	if position > 0 {
-		m.placedAt = now
+		m.positionUpdatedAt = now
 		m.position = max(m.position, min(position, now))
 	}
 	if role == RoleUnknown || at < m.roleAt {
 		return
 	}
 	m.roleAt = at
-	if m.role != role || role == RolePrimary && m.group.primary != m { // a list may have named it before
+	if m.role != role || role == RolePrimary && m.group.primary != m { // a list may have set the role
 		m.role = role
-		r.review(m.group)
+		r.updatePrimary(m.group)
 	}
 }
 
-// heard notes a sign of life. A member back from a long silence may have restarted: it counts as cold.
-func (r *Router) heard(m *member, now time.Duration) {
-	m.heardAt = now
-	if m.silent {
-		m.silent = false
-		if now-m.lostAt > coldSilence {
-			m.coldFrom, m.cold = now, true
-			m.limit, m.strain = r.share(limitStart), 0
+// recordReply records that a member answered. After a long silence it may have restarted, so it counts as
+// cold.
+func (r *Router) recordReply(m *member, now time.Duration) {
+	m.lastReplyAt = now
+	if m.unresponsive {
+		m.unresponsive = false
+		if now-m.unresponsiveSince > restartSilence {
+			m.coldSince, m.cold = now, true
+			m.inFlightLimit, m.score = r.proxyShare(initialFleetLimit), 0
 		}
-		r.review(m.group)
+		r.updatePrimary(m.group)
 	}
 }
 
-// lost marks a member that owes answers and gives none; reads that are safe to repeat are sent elsewhere.
-func (r *Router) lost(m *member, now time.Duration) {
-	if m.silent {
+// markUnresponsive records that a member doesn't answer probes, and sends its pending attempts elsewhere
+// where that is safe.
+func (r *Router) markUnresponsive(m *member, now time.Duration) {
+	if m.unresponsive {
 		return
 	}
-	m.silent, m.lostAt = true, now
-	r.review(m.group)
+	m.unresponsive, m.unresponsiveSince = true, now
+	r.updatePrimary(m.group)
 	r.hedge(now, m)
 }
 
-// hedge sends a copy of what a silent member owes, and of what is overdue where answers get lost: missing in
-// number though those that come are in time. Elsewhere overdue means crowded, and copies would feed it. An
-// attempt past its aim counts as a failure, so that a member that answers pings only is benched.
+// hedge sends a second attempt for each request that is pending at an unresponsive member. It does so too
+// for overdue requests if answers get lost, which means that many are missing though the others arrive in
+// time. Otherwise overdue answers point to overload, which more attempts would make worse. An attempt far
+// past its time counts as a failure, so that a member that answers nothing but probes is ejected.
 func (r *Router) hedge(now time.Duration, m *member) {
-	for _, a := range m.out { // a copy may be added at its end meanwhile, nothing is removed
+	for _, a := range m.inFlight { // route may append to it, but removes nothing
 		q, age := a.req, now-a.sentAt
-		if !a.overdue && age > max(2*r.slow[q.Class], q.class.Aim) {
+		if !a.overdue && age > max(2*r.overdueAfter[q.Class], q.class.Aim) {
 			a.overdue = true
-			r.failed(now, m, 1)
-			if m.strain < strainHigh && !m.silent {
-				r.missing += missWeight * (1 - r.missing)
+			r.updateFailureRate(now, m, 1)
+			if m.score < scoreOverloaded && !m.unresponsive {
+				r.lostAnswerRate += lostAnswerWeight * (1 - r.lostAnswerRate)
 			}
 		}
-		lost := r.loses(m) && age > r.slow[q.Class] && !r.long(q)
-		if (m.silent || lost) && a == q.tries[len(q.tries)-1] && !q.held && r.mayRepeat(now, q) {
+		answerLost := r.losesAnswers(m) && age > r.overdueAfter[q.Class] && !r.isLongRead(q)
+		if (m.unresponsive || answerLost) && a == q.attempts[len(q.attempts)-1] && !q.waiting &&
+			r.mayRetry(now, q) {
 			r.route(now, q)
 		}
 	}
 }
 
-func (r *Router) loses(m *member) bool { return r.missing > missLimit && m.strain < strainHigh }
+// losesAnswers tells whether a missing answer of the member is more likely lost than late.
+func (r *Router) losesAnswers(m *member) bool {
+	return r.lostAnswerRate > lostAnswerThreshold && m.score < scoreOverloaded
+}
 
-// ---- Selection: mode, filter, window, pin ----
+// ---- Choice of a member ----
 
-// primaryMode tells whether the class goes to the primary alone; all others are secondary-preferred.
-func (c *Class) primaryMode() bool { return c.Read == Write || c.Read == Fresh }
+// requiresPrimary tells whether only the primary may serve the class; all other classes prefer replicas.
+func (c *Class) requiresPrimary() bool { return c.Read == Write || c.Read == Fresh }
 
-// qualifies is the filter on log positions. The known position is a lower bound, so its age is an upper one.
-func (q *request) qualifies(m *member, now time.Duration) bool {
+// isFreshEnough tells whether a replica's position satisfies the request's class. As the known position
+// is a lower bound, the age computed from it is an upper bound.
+func (q *request) isFreshEnough(m *member, now time.Duration) bool {
 	switch q.class.Read {
 	case Any:
 		return true
@@ -258,204 +276,226 @@
 	return false
 }
 
-// usable tells whether anything may be sent to the member at all: ready, not silent, not benched.
+// usable tells whether the member may be sent requests: it is ready, responsive and not ejected as an
+// outlier.
 func (r *Router) usable(m *member, now time.Duration) bool {
-	if m.State != Ready || m.silent {
+	if m.State != Ready || m.unresponsive {
 		return false
 	}
-	if r.failsMore(m) { // one trial at a time
-		return now >= m.benched && len(m.out) == 0
+	if r.isOutlier(m) { // after the ejection time, one trial request at a time
+		return now >= m.ejectedUntil && len(m.inFlight) == 0
 	}
 	return true
 }
 
-// filled tells whether the member has this front's fill; the broken part of a limit counts as a chance.
-func (r *Router) filled(now time.Duration, m *member, part float64) bool {
-	if m.limit < limitOwn {
-		m.limit = min(m.limit+float64(now-m.easedAt)/float64(limitEase), limitOwn)
+// atLimit tells whether the member's limit has no room for another attempt of this proxy. A fractional
+// rest of the limit admits a request with that probability.
+func (r *Router) atLimit(now time.Duration, m *member, fraction float64) bool {
+	if m.inFlightLimit < recoveredProxyLimit {
+		m.inFlightLimit = min(m.inFlightLimit+float64(now-m.limitUpdatedAt)/float64(limitRecoveryTime),
+			recoveredProxyLimit)
 	}
-	m.easedAt = now
-	free := m.limit*part - float64(len(m.out))
-	full := free <= 0 || free < 1 && r.luck >= free
-	m.turned = m.turned || full
+	m.limitUpdatedAt = now
+	room := m.inFlightLimit*fraction - float64(len(m.inFlight))
+	full := room <= 0 || room < 1 && r.admissionDraw >= room
+	m.limitReached = m.limitReached || full
 	return full
 }
 
-// crowded tells whether the member has no room for a read: it is filled, or its last report shows requests
-// that wait, the one sign of what other fronts send. Answers in time since then outrank a report.
-func (r *Router) crowded(now time.Duration, m *member, part float64) bool {
-	waits := m.queue >= queueLong && now-m.queueAt < reportLife
-	return waits && (m.judgedAt <= m.queueAt || m.strain >= strainHigh) || r.filled(now, m, part)
+// overloaded tells whether the member has no room for a read: it is at its limit, or its last report
+// shows waiting requests, which is the only sign of the load from other proxies. Answers that have
+// arrived in time since the report override it.
+func (r *Router) overloaded(now time.Duration, m *member, fraction float64) bool {
+	queueing := m.reportedQueue >= busyQueueLength && now-m.queueReportedAt < queueReportMaxAge
+	return queueing && (m.scoredAt <= m.queueReportedAt || m.score >= scoreOverloaded) ||
+		r.atLimit(now, m, fraction)
 }
 
-// merit gives the part of a member's limit that the request may fill: the less worth its class earns for its
-// work against the best class, the sooner it is shed, where limits are reached.
-func (r *Router) merit(q *request) float64 {
-	worth := func(i int) float64 { return r.cfg.Classes[i].Worth / max(r.cost[i].Seconds(), 1e-6) }
+// limitFraction returns the fraction of a member's limit that the request may use. It decreases with the
+// ratio of worth to service time of the request's class, relative to the best class. Thus the least
+// valuable requests are shed first when limits are reached.
+func (r *Router) limitFraction(q *request) float64 {
+	worth := func(i int) float64 { return r.cfg.Classes[i].Worth / max(r.serviceTime[i].Seconds(), 1e-6) }
 	own, best := worth(q.Class), 0.0
 	for i := range r.cfg.Classes {
 		best = max(best, worth(i))
 	}
-	if q.over {
+	if q.overQuota {
 		own *= r.cfg.OverShare
 	}
 	if own < best {
-		return max(meritMin, math.Sqrt(own/best))
+		return max(minLimitFraction, math.Sqrt(own/best))
 	}
 	return 1
 }
 
-// choose gives the member for the request's next attempt, or nil and the reason for a refusal.
-func (r *Router) choose(now time.Duration, q *request) (*member, Refusal) {
-	p, part := q.group.primary, r.merit(q)
-	r.luck = r.rng.Float64() // one draw for all members: where each is half full, half of all requests are shed
-	if q.class.primaryMode() {
-		if p == nil || !r.usable(p, now) {
-			r.inquire(now, q, len(q.group.members), func(*member) bool { return true })
+// chooseMember returns the member for the request's next attempt, or nil and the reason for a refusal.
+func (r *Router) chooseMember(now time.Duration, q *request) (*member, Refusal) {
+	groupPrimary, fraction := q.group.primary, r.limitFraction(q)
+	// One draw for all members: if each has room for half an attempt, half of all requests are shed. With a
+	// draw per member, one of them would nearly always admit the request.
+	r.admissionDraw = r.rng.Float64()
+	if q.class.requiresPrimary() {
+		if groupPrimary == nil || !r.usable(groupPrimary, now) {
+			r.probeAndWait(now, q, len(q.group.members), func(*member) bool { return true })
 			return nil, RefusedNoPrimary
 		}
-		if r.filled(now, p, part) || !r.bears(now, p) {
+		if r.atLimit(now, groupPrimary, fraction) || !r.withinColdBudget(now, groupPrimary) {
 			return nil, RefusedCrowded
 		}
-		return p, RefusedNoTime
-	}
-	if at, ok := r.pins.get(q.pinKey()); ok && q.Session != 0 && at.term == q.group.term &&
-		r.eligible(now, q, at.to) && q.qualifies(at.to, now) && !r.crowded(now, at.to, part) &&
-		r.bears(now, at.to) {
-		return at.to, RefusedNoTime
-	}
-	if r.long(q) {
-		if list := r.stragglers(now, q); len(list) > 0 {
-			if i := slices.IndexFunc(list, func(m *member) bool { return !r.crowded(now, m, part) }); i >= 0 {
-				return list[i], RefusedNoTime
+		return groupPrimary, RefusedNoTime
+	}
+	if pinned, ok := r.pins.get(q.pinKey()); ok && q.Session != 0 && pinned.term == q.group.term &&
+		r.isEligibleReplica(now, q, pinned.replica) && q.isFreshEnough(pinned.replica, now) &&
+		!r.overloaded(now, pinned.replica, fraction) &&
+		r.withinColdBudget(now, pinned.replica) {
+		return pinned.replica, RefusedNoTime
+	}
+	if r.isLongRead(q) {
+		if replicas := r.longReadReplicas(now, q); len(replicas) > 0 {
+			if i := slices.IndexFunc(replicas, func(m *member) bool {
+				return !r.overloaded(now, m, fraction)
+			}); i >= 0 {
+				return replicas[i], RefusedNoTime
 			}
 			return nil, RefusedCrowded
 		}
 	}
-	if m := r.pick(now, q, part, func(m *member) bool { return q.qualifies(m, now) }); m != nil {
+	if m := r.pickReplica(now, q, fraction, func(m *member) bool { return q.isFreshEnough(m, now) }); m != nil {
 		return m, RefusedNoTime
 	}
-	if r.inquire(now, q, 1, func(m *member) bool { return r.eligible(now, q, m) || m == p && q.asked > 0 }) {
+	if r.probeAndWait(now, q, 1, func(m *member) bool {
+		return r.isEligibleReplica(now, q, m) || m == groupPrimary && q.probeRounds > 0
+	}) {
 		return nil, RefusedCrowded
 	}
-	if p != nil && r.usable(p, now) && !q.tried(p) && !r.crowded(now, p, spillPart*part) && r.bears(now, p) {
-		return p, RefusedNoTime
+	if groupPrimary != nil && r.usable(groupPrimary, now) && !q.hasTried(groupPrimary) &&
+		!r.overloaded(now, groupPrimary, primaryReadFraction*fraction) && r.withinColdBudget(now, groupPrimary) {
+		return groupPrimary, RefusedNoTime
 	}
-	// Where members check for themselves, a send can't go stale: one that is too far behind turns it away.
+	// If members check freshness themselves, any replica is safe: one that lags too far rejects the read.
 	if r.cfg.Checks != ChecksNone {
-		if m := r.pick(now, q, part, func(*member) bool { return true }); m != nil {
+		if m := r.pickReplica(now, q, fraction, func(*member) bool { return true }); m != nil {
 			return m, RefusedNoTime
 		}
 	}
 	return nil, RefusedCrowded
 }
 
-// eligible tells whether a replica may be sent the request at all, its position and crowding aside.
-func (r *Router) eligible(now time.Duration, q *request, m *member) bool {
-	return m.role != RolePrimary && r.usable(m, now) && !q.tried(m)
+// isEligibleReplica tells whether the member is a usable replica that the request has not tried. It doesn't
+// consider the position and the load.
+func (r *Router) isEligibleReplica(now time.Duration, q *request, m *member) bool {
+	return m.role != RolePrimary && r.usable(m, now) && !q.hasTried(m)
 }
 
-// pick draws from the replicas that pass the filter, within the ping window of the quickest.
-func (r *Router) pick(now time.Duration, q *request, part float64, filter func(*member) bool) *member {
-	var near []*member
+// pickReplica chooses at random among the replicas that pass the filter, have room and are within the RTT
+// window.
+func (r *Router) pickReplica(
+	now time.Duration, q *request, fraction float64, filter func(*member) bool,
+) *member {
+	var candidates []*member
 	for _, m := range q.group.members {
-		if r.eligible(now, q, m) && filter(m) && !r.crowded(now, m, part) {
-			near = append(near, m)
+		if r.isEligibleReplica(now, q, m) && filter(m) && !r.overloaded(now, m, fraction) {
+			candidates = append(candidates, m)
 		}
 	}
-	near = r.nearest(near)
-	for len(near) > 0 {
-		m := near[r.rng.IntN(len(near))]
-		if r.bears(now, m) {
+	candidates = r.filterByRTT(candidates)
+	for len(candidates) > 0 {
+		m := candidates[r.rng.IntN(len(candidates))]
+		if r.withinColdBudget(now, m) {
 			return m
 		}
-		near = slices.DeleteFunc(near, func(x *member) bool { return x == m })
+		candidates = slices.DeleteFunc(candidates, func(x *member) bool { return x == m })
 	}
 	return nil
 }
 
-// nearest keeps those within the ping window of the quickest.
-func (r *Router) nearest(list []*member) []*member {
-	quickest := time.Duration(-1)
-	for _, m := range list {
-		if m.ping > 0 && (quickest < 0 || m.ping < quickest) {
-			quickest = m.ping
+// filterByRTT removes the members whose RTT is unknown or exceeds the lowest by more than rttWindow.
+func (r *Router) filterByRTT(candidates []*member) []*member {
+	lowest := time.Duration(-1)
+	for _, m := range candidates {
+		if m.rtt > 0 && (lowest < 0 || m.rtt < lowest) {
+			lowest = m.rtt
 		}
 	}
-	return slices.DeleteFunc(list, func(m *member) bool {
-		return quickest >= 0 && (m.ping == 0 || m.ping > quickest+pingWindow)
+	return slices.DeleteFunc(candidates, func(m *member) bool {
+		return lowest >= 0 && (m.rtt == 0 || m.rtt > lowest+rttWindow)
 	})
 }
 
-// long tells of reads that any member may answer and that run long against the tightest bound: they may stall
-// applying. Spread at random they would push every replica out of the filter in turn.
-func (r *Router) long(q *request) bool {
-	return q.class.Read == Any && r.tightest > 0 && r.cost[q.Class] > r.tightest/longPart
+// isLongRead tells whether the request is a read without a freshness requirement that takes long compared
+// to the smallest MaxAge. Such a read may stall log replay on its replica. At randomly chosen replicas,
+// such reads would make one replica after the other too stale for bounded reads.
+func (r *Router) isLongRead(q *request) bool {
+	return q.class.Read == Any && r.minMaxAge > 0 && r.serviceTime[q.Class] > r.minMaxAge/longReadDivisor
 }
 
-// stragglers gives where long reads go: to the replicas furthest behind, as many as their part of the group's
-// work asks for. When they are crowded, further long reads are refused: one more replica stalled costs more
-// than they are worth.
-func (r *Router) stragglers(now time.Duration, q *request) []*member {
-	var all []*member
+// longReadReplicas returns the replicas for long reads: those furthest behind, in proportion to the part
+// of the group's work that long reads cause. If these are overloaded, further long reads are refused,
+// because stalling one more replica costs more than the reads are worth.
+func (r *Router) longReadReplicas(now time.Duration, q *request) []*member {
+	var replicas []*member
 	for _, m := range q.group.members {
-		if r.eligible(now, q, m) && q.qualifies(m, now) && !m.cold {
-			all = append(all, m)
+		if r.isEligibleReplica(now, q, m) && q.isFreshEnough(m, now) && !m.cold {
+			replicas = append(replicas, m)
 		}
 	}
-	all = r.nearest(all)
-	slices.SortStableFunc(all, func(a, b *member) int { return cmp.Compare(a.position, b.position) })
-	n := int(q.group.longWork/max(q.group.work, 1e-9)*float64(len(all)) + 0.5)
-	return all[:min(max(n, 1), len(all))]
+	replicas = r.filterByRTT(replicas)
+	slices.SortStableFunc(replicas, func(a, b *member) int { return cmp.Compare(a.position, b.position) })
+	count := int(q.group.meanLongWork/max(q.group.meanWork, 1e-9)*float64(len(replicas)) + 0.5)
+	return replicas[:min(max(count, 1), len(replicas))]
 }
 
 // ---- Requests, attempts and outcomes ----
 
-// Request takes a client's request: it is sent, held by a fresh router, or answered at once.
+// Request handles a new request: it is sent, waits for probes, or is answered at once.
 func (r *Router) Request(now time.Duration, in Request) {
-	r.begin(now)
+	r.ensureStarted(now)
 	if in.Class < 0 || in.Class >= len(r.cfg.Classes) || r.requests[in.ID] != nil {
-		r.act.Fail(in.ID)
+		r.proxy.Fail(in.ID)
 		return
 	}
-	q := &request{Request: in, class: &r.cfg.Classes[in.Class], group: r.groupOf(in.Group)}
+	q := &request{Request: in, class: &r.cfg.Classes[in.Class], group: r.getOrCreateGroup(in.Group)}
 	r.requests[in.ID] = q
-	q.group.rate.add(now, thinSpan)
-	r.use(q.group)
-	q.over = r.beyondShare(now, in.Tenant)
-	r.retries = min(r.retries+retryPart, retryReserve)
-	cost := r.cost[q.Class].Seconds()
-	q.group.work += workWeight * (cost - q.group.work)
-	if !r.long(q) {
-		cost = 0
-	}
-	q.group.longWork += workWeight * (cost - q.group.longWork)
+	q.group.recentRequests.increment(now, requestRateWindow)
+	r.markActive(q.group)
+	q.overQuota = r.exceedsQuota(now, in.Tenant)
+	r.retryTokens = min(r.retryTokens+retryTokensPerRequest, maxRetryTokens)
+	serviceTime := r.serviceTime[q.Class].Seconds()
+	q.group.meanWork += workWeight * (serviceTime - q.group.meanWork)
+	if !r.isLongRead(q) {
+		serviceTime = 0
+	}
+	q.group.meanLongWork += workWeight * (serviceTime - q.group.meanLongWork)
 	if q.class.Read == Bounded {
-		r.boundedAt = now
+		r.lastBoundedReadAt = now
 	}
-	q.token = r.tokenOf(now, &in)
-	if r.opening(now, q.group) {
-		r.hold(q)
+	q.token = r.sessionToken(now, &in)
+	if r.awaitsFirstProbes(now, q.group) {
+		r.addWaiting(q)
 	} else {
-		r.start(now, q)
+		r.routeOrFinish(now, q)
 	}
 }
 
-// beyondShare tells whether a tenant asks for more than its quota. Refusals give back what they took.
-func (r *Router) beyondShare(now time.Duration, t int) bool {
-	if t < 0 || t >= len(r.shares) || r.cfg.Tenants[t].Quota <= 0 {
+// exceedsQuota tells whether a tenant's request is over its quota, and counts the request if it is not. A
+// refusal reverts the count.
+func (r *Router) exceedsQuota(now time.Duration, tenant int) bool {
+	if tenant < 0 || tenant >= len(r.tenantUsage) || r.cfg.Tenants[tenant].Quota <= 0 {
 		return false
 	}
-	if r.shares[t].at(now, shareSpan) >= max(r.share(r.cfg.Tenants[t].Quota)*shareSpan.Seconds(), 1) {
+	if r.tenantUsage[tenant].valueAt(now, quotaWindow) >=
+		max(r.proxyShare(r.cfg.Tenants[tenant].Quota)*quotaWindow.Seconds(), 1) {
 		return true
 	}
-	r.shares[t].add(now, shareSpan)
+	r.tenantUsage[tenant].increment(now, quotaWindow)
 	return false
 }
 
-// tokenOf gives the commit that a session read must see; if unknown here, the newest one forgotten. A write
-// that is out may have been answered, and the answer lost on the way; it counts as known after knownAfter.
-func (r *Router) tokenOf(now time.Duration, in *Request) time.Duration {
+// sessionToken returns the commit that a session's read must see. For a session without a known commit
+// that is the newest evicted one. A pending write may have been committed and answered, and its answer
+// lost on the way; its commit counts as known after commitKnownAfter.
+func (r *Router) sessionToken(now time.Duration, in *Request) time.Duration {
 	if r.cfg.Carried {
 		if in.TokenAge > 0 {
 			return now - in.TokenAge
@@ -464,294 +504,317 @@
 	}
 	token, ok := r.commits.get(in.Session)
 	if !ok {
-		token = r.forgotten
+		token = r.newestEvictedCommit
 	}
-	if r.writing[in.Session] > 0 {
-		token = max(token, now-knownAfter)
+	if r.openWrites[in.Session] > 0 {
+		token = max(token, now-commitKnownAfter)
 	}
 	return token
 }
 
-func (r *Router) start(now time.Duration, q *request) {
-	if ok, why := r.route(now, q); !ok && !q.held && !q.open() {
-		r.finish(q, why)
+// routeOrFinish sends a request, or finishes it if it can neither be sent nor wait.
+func (r *Router) routeOrFinish(now time.Duration, q *request) {
+	if ok, reason := r.route(now, q); !ok && !q.waiting && !q.pending() {
+		r.finish(q, reason)
 	}
 }
 
-func (r *Router) hold(q *request) {
-	if !q.held {
-		q.held = true
-		r.held = append(r.held, q)
+// addWaiting lets a request wait for probe results or for the next tick.
+func (r *Router) addWaiting(q *request) {
+	if !q.waiting {
+		q.waiting = true
+		r.waiting = append(r.waiting, q)
 	}
 }
 
-// route makes the request's next attempt where a member can be chosen.
+// route sends the request's next attempt if a member can be chosen, and returns the reason for a refusal
+// if not.
 func (r *Router) route(now time.Duration, q *request) (bool, Refusal) {
-	m, why := r.choose(now, q)
-	return m != nil && r.send(now, q, m), why
+	m, reason := r.chooseMember(now, q)
+	return m != nil && r.send(now, q, m), reason
 }
 
-// send is the only place that sends a request; each rule is checked here last.
+// send is the only function that sends requests; it checks every rule a last time.
 func (r *Router) send(now time.Duration, q *request, m *member) bool {
-	if q.Deadline-now <= r.cost[q.Class] { // it can't be served; sinking, the estimate is tried again
-		quantile(&r.cost[q.Class], 0, costPart)
+	// There is too little time left. Lowering the estimate makes sure that a class whose requests always
+	// have little time is tried again.
+	if q.Deadline-now <= r.serviceTime[q.Class] {
+		updateQuantile(&r.serviceTime[q.Class], 0, serviceTimeQuantile)
 		return false
 	}
-	if q.done || m.group != q.group || m.State != Ready || !r.effectAllows(now, q, m) ||
-		r.cfg.MaxAttempts > 0 && len(q.tries) >= r.cfg.MaxAttempts {
+	if q.done || m.group != q.group || m.State != Ready || !r.effectAllowsAttempt(now, q, m) ||
+		r.cfg.MaxAttempts > 0 && len(q.attempts) >= r.cfg.MaxAttempts {
 		return false
 	}
-	if len(q.tries) > 0 {
-		r.retries--
+	if len(q.attempts) > 0 {
+		r.retryTokens--
 	}
-	a := &attempt{req: q, n: len(q.tries), to: m, sentAt: now, open: true}
-	q.tries = append(q.tries, a)
-	m.out = append(m.out, a)
-	r.use(m.group)
-	m.bank -= r.cost[q.Class].Seconds() // of no matter unless it is cold
-	if r.remembers(q) {
-		r.writing[q.Session]++
+	a := &attempt{req: q, number: len(q.attempts), target: m, sentAt: now, pending: true}
+	q.attempts = append(q.attempts, a)
+	m.inFlight = append(m.inFlight, a)
+	r.markActive(m.group)
+	m.coldBudget -= r.serviceTime[q.Class].Seconds() // only relevant while the member is cold
+	if r.tracksCommit(q) {
+		r.openWrites[q.Session]++
 	}
-	r.act.Send(q.ID, m.ID, q.Deadline-now, r.fitUntil(q, m))
+	r.proxy.Send(q.ID, m.ID, q.Deadline-now, r.freshUntil(q, m))
 	return true
 }
 
-// fitUntil tells until when a bounded read may begin at a replica: its age counts from the sending, and a
-// connection may take longer to come up than the known position has left.
-func (r *Router) fitUntil(q *request, m *member) time.Duration {
+// freshUntil returns the time until which a replica's known position is fresh enough for a bounded read,
+// or 0 if there is no limit. The age of the data counts from the sending, which a new connection may
+// delay for too long.
+func (r *Router) freshUntil(q *request, m *member) time.Duration {
 	if q.class.Read != Bounded || m == q.group.primary || r.cfg.Checks != ChecksNone {
 		return 0
 	}
 	return m.position + q.class.MaxAge
 }
 
-// effectAllows keeps effects from happening twice: attempts that are out count as may have run.
-func (r *Router) effectAllows(now time.Duration, q *request, m *member) bool {
-	if !r.cfg.Parallel && q.open() {
+// effectAllowsAttempt tells whether another attempt can't cause the request's effect twice. Pending
+// attempts count as possibly executed.
+func (r *Router) effectAllowsAttempt(now time.Duration, q *request, m *member) bool {
+	if !r.cfg.Parallel && q.pending() {
 		return false
 	}
-	for _, a := range q.tries {
+	for _, a := range q.attempts {
 		switch {
-		case q.class.Effect == Free || !a.open && !a.ran:
+		case q.class.Effect == Free || !a.pending && !a.mayHaveRun:
 		case q.class.Effect == SingleShot, now-a.sentAt >= q.class.DedupWindow-r.cfg.Tick,
-			q.class.Scope == ScopeZone && a.to.Zone != m.Zone:
+			q.class.Scope == ScopeZone && a.target.Zone != m.Zone:
 			return false
 		}
 	}
 	return true
 }
 
-// finish is the only place that gives a final answer: a refusal where a repeat can do no harm, or a failure.
-func (r *Router) finish(q *request, why Refusal) {
+// finish gives a request its final answer: a refusal if the client can safely retry, otherwise a failure.
+func (r *Router) finish(q *request, reason Refusal) {
 	if q.done {
 		return
 	}
 	q.done = true
-	if !q.ran && !q.open() || q.class.Effect == Free || q.class.Effect == Guarded && q.class.Scope == ScopeAll {
-		// Jitter, so that the refused don't come back together.
-		hint := why.hint()
-		hint = min(hint/2+time.Duration(r.rng.Int64N(int64(hint)+1)), r.cfg.MaxComeBack)
+	if !q.mayHaveRun && !q.pending() || q.class.Effect == Free ||
+		q.class.Effect == Guarded && q.class.Scope == ScopeAll {
+		// Jitter keeps refused clients from retrying at the same time.
+		retryAfter := reason.retryAfter()
+		retryAfter = min(retryAfter/2+time.Duration(r.rng.Int64N(int64(retryAfter)+1)), r.cfg.MaxComeBack)
 		if !r.cfg.MayComeBack {
-			hint = 0
+			retryAfter = 0
 		}
-		if !q.over && q.Tenant >= 0 && q.Tenant < len(r.shares) {
-			r.shares[q.Tenant].sum--
+		if !q.overQuota && q.Tenant >= 0 && q.Tenant < len(r.tenantUsage) {
+			r.tenantUsage[q.Tenant].value--
 		}
-		r.act.Refuse(q.ID, hint, why)
+		r.proxy.Refuse(q.ID, retryAfter, reason)
 	} else {
-		r.act.Fail(q.ID)
+		r.proxy.Fail(q.ID)
 	}
-	r.drop(q)
+	r.forgetOrCancel(q)
 }
 
-// drop forgets a request that is done, calling off what is still out.
-func (r *Router) drop(q *request) {
-	if !q.open() {
+// forgetOrCancel removes a request that is done, or cancels the attempts that are still pending.
+func (r *Router) forgetOrCancel(q *request) {
+	if !q.pending() {
 		delete(r.requests, q.ID)
 		return
 	}
-	for _, a := range q.tries {
-		if a.open && r.cfg.MayCancel && !a.calledOff {
-			a.calledOff = true
-			r.act.Cancel(q.ID, a.n)
+	for _, a := range q.attempts {
+		if a.pending && r.cfg.MayCancel && !a.cancelRequested {
+			a.cancelRequested = true
+			r.proxy.Cancel(q.ID, a.number)
 		}
 	}
 }
 
-// Started notes that a streamed answer has begun: the client has it now, and no further copy may go out.
+// Started handles the start of a streamed answer: as the client has part of it, no further attempt may be
+// sent.
 func (r *Router) Started(now time.Duration, id RequestID, _ int) {
-	r.begin(now)
+	r.ensureStarted(now)
 	if q := r.requests[id]; q != nil {
 		q.done = true
 	}
 }
 
-// Abandoned notes that nothing more is owed. Who had it counts as late: early leavers would hide crowds.
+// Abandoned handles the disconnection of a request's client. Its pending attempts are scored as late,
+// because clients that leave early would otherwise hide an overload.
 func (r *Router) Abandoned(now time.Duration, id RequestID) {
-	r.begin(now)
+	r.ensureStarted(now)
 	if q := r.requests[id]; q != nil && !q.done {
 		q.done = true
-		for _, a := range q.tries {
-			if a.open {
-				r.strain(now, a.to, q.class.Aim, strainLate)
+		for _, a := range q.attempts {
+			if a.pending {
+				r.score(now, a.target, q.class.Aim, scoreLate)
 			}
 		}
-		r.drop(q)
+		r.forgetOrCancel(q)
 	}
 }
 
-// Outcome takes the end of an attempt.
+// Outcome handles the end of an attempt.
 func (r *Router) Outcome(now time.Duration, o Outcome) {
-	r.begin(now)
+	r.ensureStarted(now)
 	q := r.requests[o.Request]
-	if q == nil || o.Attempt < 0 || o.Attempt >= len(q.tries) || !q.tries[o.Attempt].open {
+	if q == nil || o.Attempt < 0 || o.Attempt >= len(q.attempts) || !q.attempts[o.Attempt].pending {
 		return
 	}
-	a := q.tries[o.Attempt]
-	a.open = false
-	a.to.out = slices.DeleteFunc(a.to.out, func(x *attempt) bool { return x == a })
-	a.ran = !o.Result.NeverRan()
-	q.ran = q.ran || a.ran
-	if r.remembers(q) {
-		if r.writing[q.Session]--; r.writing[q.Session] == 0 {
-			delete(r.writing, q.Session)
+	a := q.attempts[o.Attempt]
+	a.pending = false
+	a.target.inFlight = slices.DeleteFunc(a.target.inFlight, func(x *attempt) bool { return x == a })
+	a.mayHaveRun = !o.Result.NeverRan()
+	q.mayHaveRun = q.mayHaveRun || a.mayHaveRun
+	if r.tracksCommit(q) {
+		if r.openWrites[q.Session]--; r.openWrites[q.Session] == 0 {
+			delete(r.openWrites, q.Session)
 		}
 	}
-	r.note(now, a, o)
+	r.recordOutcome(now, a, o)
 	if q.done = q.done || o.Finished; q.done {
-		r.drop(q)
+		r.forgetOrCancel(q)
 		return
 	}
-	ok, why := false, RefusedCrowded
-	if r.mayRepeat(now, q) {
-		ok, why = r.route(now, q)
+	ok, reason := false, RefusedCrowded
+	if r.mayRetry(now, q) {
+		ok, reason = r.route(now, q)
 	}
-	if !ok && !q.open() && !q.held {
-		r.finish(q, why)
+	if !ok && !q.pending() && !q.waiting {
+		r.finish(q, reason)
 	}
 }
 
-// mayRepeat bounds further attempts: few a request, few of all traffic (not to feed an overload), in time.
-func (r *Router) mayRepeat(now time.Duration, q *request) bool {
-	return !q.done && len(q.tries) < readTries && r.retries >= 1 && now+r.cost[q.Class] < q.Deadline
+// mayRetry tells whether the request may have another attempt. Attempts are limited per request, by a
+// retry budget for all requests, so that retries don't aggravate an overload, and by the deadline.
+func (r *Router) mayRetry(now time.Duration, q *request) bool {
+	return !q.done && len(q.attempts) < maxAttemptsPerRequest && r.retryTokens >= 1 &&
+		now+r.serviceTime[q.Class] < q.Deadline
 }
 
-// note learns from an outcome: signs of life, role, position, answer time, failures, commits and pins.
-func (r *Router) note(now time.Duration, a *attempt, o Outcome) {
-	q, m := a.req, a.to
-	if a.ran && o.Result != OK && r.remembers(q) { // it may have been committed at any time up to now
-		r.remember(q.Session, now, now)
+// recordOutcome updates the state from an outcome: reply, role, position, answer time, failure, commit
+// and pin.
+func (r *Router) recordOutcome(now time.Duration, a *attempt, o Outcome) {
+	q, m := a.req, a.target
+	if a.mayHaveRun && o.Result != OK && r.tracksCommit(q) { // it may have been committed at any time until now
+		r.recordCommit(q.Session, now, now)
 	}
 	switch o.Result {
 	case OK, Miss, Failed, Full:
-		r.heard(m, now)
+		r.recordReply(m, now)
 		role, position := o.Role, o.Position
 		if q.class.Read == Write && o.Result == Miss && role == RoleUnknown {
 			role = RoleReplica
 		}
-		if q.class.Read == Write && o.Result == OK { // the position is the commit's, not the member's
-			if r.remembers(q) {
-				r.remember(q.Session, position, now)
+		if q.class.Read == Write && o.Result == OK { // the position is that of the commit, not of the member
+			if r.tracksCommit(q) {
+				r.recordCommit(q.Session, position, now)
 			}
 			position = 0
 		}
-		r.learn(m, role, position, now, now)
+		r.updateRoleAndPosition(m, role, position, now, now)
 		if o.Load.Queue >= 0 {
-			m.queue, m.queueAt = o.Load.Queue, now
+			m.reportedQueue, m.queueReportedAt = o.Load.Queue, now
 		}
-		r.learn(m, o.Load.Role, o.Load.Position, cmp.Or(o.Load.Position, now), now)
+		r.updateRoleAndPosition(m, o.Load.Role, o.Load.Position, cmp.Or(o.Load.Position, now), now)
 	}
 	switch o.Result {
 	case OK:
 		took := now - a.sentAt
-		quantile(&r.cost[q.Class], took, costPart)
-		quantile(&r.slow[q.Class], took, slowPart)
-		r.strain(now, m, q.class.Aim, min(float64(took)/float64(q.class.Aim), strainLate))
-		r.failed(now, m, 0)
-		r.missing -= missWeight * r.missing
+		updateQuantile(&r.serviceTime[q.Class], took, serviceTimeQuantile)
+		updateQuantile(&r.overdueAfter[q.Class], took, overdueQuantile)
+		r.score(now, m, q.class.Aim, min(float64(took)/float64(q.class.Aim), scoreLate))
+		r.updateFailureRate(now, m, 0)
+		r.lostAnswerRate -= lostAnswerWeight * r.lostAnswerRate
 		if q.class.Read != Write && q.Session != 0 && m.role == RoleReplica {
 			r.pins.put(q.pinKey(), pin{m, q.group.term})
 		}
 	case TimedOut:
-		if !r.loses(m) {
-			r.strain(now, m, q.class.Aim, strainLate)
+		if !r.losesAnswers(m) {
+			r.score(now, m, q.class.Aim, scoreLate)
 		}
 	case Failed, Full, ConnectFailed, Reset:
-		if r.failed(now, m, 1); o.Result == Full {
-			r.strain(now, m, q.class.Aim, strainLate)
+		if r.updateFailureRate(now, m, 1); o.Result == Full {
+			r.score(now, m, q.class.Aim, scoreLate)
 		}
 		if o.Result == ConnectFailed {
-			r.probe(now, m)
+			r.sendProbe(now, m)
 		}
 	}
 }
 
-func (r *Router) failed(now time.Duration, m *member, x float64) {
-	m.failing += failWeight * (x - m.failing)
-	r.failing += failWeight / 10 * (x - r.failing)
-	if x > 0 && r.failsMore(m) && now >= m.benched {
-		m.benched = now + benchFor
+// updateFailureRate adds an attempt to the failure rates (1 = failed, 0 = not) and ejects the member if
+// it has become an outlier.
+func (r *Router) updateFailureRate(now time.Duration, m *member, failed float64) {
+	m.failureRate += failureWeight * (failed - m.failureRate)
+	r.failureRate += failureWeight / 10 * (failed - r.failureRate)
+	if failed > 0 && r.isOutlier(m) && now >= m.ejectedUntil {
+		m.ejectedUntil = now + ejectionTime
 	}
 }
 
-// failsMore tells a failing member from failures that strike all alike (a bad network, a broken release).
-func (r *Router) failsMore(m *member) bool { return m.failing > failLimit+2*r.failing }
+// isOutlier tells whether the member fails more often than all members do on average. A bad network or a
+// broken release makes all members fail alike.
+func (r *Router) isOutlier(m *member) bool { return m.failureRate > failureThreshold+2*r.failureRate }
 
-// remembers tells whether later reads of the request's session must see it, and only this router knows.
-func (r *Router) remembers(q *request) bool {
+// tracksCommit tells whether the router must track the request's commit for later reads of its session.
+func (r *Router) tracksCommit(q *request) bool {
 	return q.class.Read == Write && q.Session != 0 && !r.cfg.Carried
 }
 
-func (r *Router) remember(s SessionID, commit, now time.Duration) {
-	old, _ := r.commits.get(s)
-	dropped, _ := r.commits.put(s, max(old, cmp.Or(commit, now)))
-	r.forgotten = max(r.forgotten, dropped)
+// recordCommit records the newest commit of a session.
+func (r *Router) recordCommit(session SessionID, commit, now time.Duration) {
+	previous, _ := r.commits.get(session)
+	evicted, _ := r.commits.put(session, max(previous, cmp.Or(commit, now)))
+	r.newestEvictedCommit = max(r.newestEvictedCommit, evicted)
 }
 
-// ---- Guards: crowding, cold members ----
+// ---- Overload and cold members ----
 
-func quantile(to *time.Duration, sample time.Duration, part float64) {
-	if sample <= *to {
-		part--
+// updateQuantile moves an estimate of a quantile one step towards a sample.
+func updateQuantile(estimate *time.Duration, sample time.Duration, quantile float64) {
+	if sample <= *estimate {
+		quantile--
 	}
-	*to += time.Duration(part * costStep * float64(*to))
+	*estimate += time.Duration(quantile * quantileStep * float64(*estimate))
 }
 
-// strain moves a member's limit by its answers, against slow members behind quick pings, crowds and overload.
-func (r *Router) strain(now time.Duration, m *member, aim time.Duration, x float64) {
-	if r.stood(now) {
+// score adds the ratio of an answer time to its Aim to the member's score, and adapts the member's limit
+// to the score. This protects against overload, and against members that answer probes fast but requests
+// slowly.
+func (r *Router) score(now time.Duration, m *member, aim time.Duration, ratio float64) {
+	if r.wasStalled(now) {
 		return
 	}
-	weight := min(max(float64(now-m.judgedAt)/(rareAims*float64(aim)), strainWeight), strainRare)
-	m.judgedAt = now
-	m.strain += weight * (x - m.strain)
-	out := float64(len(m.out) + 1)
+	weight := min(max(float64(now-m.scoredAt)/(scoreWeightAims*float64(aim)), scoreWeightMin), scoreWeightMax)
+	m.scoredAt = now
+	m.score += weight * (ratio - m.score)
+	inFlight := float64(len(m.inFlight) + 1)
 	switch {
-	case m.strain > strainHigh && now-m.cutAt >= cutEvery:
-		m.limit = max(r.share(limitFloor), min(m.limit, out)*(1-weight))
-		m.cutAt = now
-	case m.strain <= strainHigh && (m.turned || out >= m.limit/2):
-		m.limit += min(2/max(m.limit, 1), m.limit)
-		m.turned = false
+	case m.score > scoreOverloaded && now-m.limitCutAt >= limitCutInterval:
+		m.inFlightLimit = max(r.proxyShare(minFleetLimit), min(m.inFlightLimit, inFlight)*(1-weight))
+		m.limitCutAt = now
+	case m.score <= scoreOverloaded && (m.limitReached || inFlight >= m.inFlightLimit/2):
+		m.inFlightLimit += min(2/max(m.inFlightLimit, 1), m.inFlightLimit)
+		m.limitReached = false
 	}
 }
 
-// share is this front's part of what all fronts may do together.
-func (r *Router) share(total float64) float64 { return total / float64(max(r.cfg.Fronts, 1)) }
+// proxyShare returns this proxy's share of a total for all proxies.
+func (r *Router) proxyShare(total float64) float64 { return total / float64(max(r.cfg.Fronts, 1)) }
 
-// bears keeps a started member from being pushed over: its account of work fills with its warmth's part of
-// what this front has for each member of the group, times half the multiple that the rule allows. It starts
-// in a random debt and is never above zero, so that the sum of all fronts is bounded.
-func (r *Router) bears(now time.Duration, m *member) bool {
-	if m.cold = m.cold && now-m.coldFrom < r.cfg.Cold; !m.cold {
+// withinColdBudget tells whether a cold member's budget allows another request. The budget prevents an
+// overload after a restart: it is refilled with the member's fraction of warm capacity, times this
+// proxy's work per member of the group, times half of Config.FallMultiple. It starts with a random debt
+// and never exceeds zero, so that the total of all proxies is bounded.
+func (r *Router) withinColdBudget(now time.Duration, m *member) bool {
+	if m.cold = m.cold && now-m.coldSince < r.cfg.Cold; !m.cold {
 		return true
 	}
-	part := r.cfg.ColdShare + (1-r.cfg.ColdShare)*max(0, float64(now-m.coldFrom))/float64(r.cfg.Cold)
-	if m.bankAt < m.coldFrom {
-		m.bank, m.bankAt = -r.rng.Float64()*m.group.work, now
+	capacityShare := r.cfg.ColdShare +
+		(1-r.cfg.ColdShare)*max(0, float64(now-m.coldSince))/float64(r.cfg.Cold)
+	if m.coldBudgetUpdatedAt < m.coldSince {
+		m.coldBudget, m.coldBudgetUpdatedAt = -r.rng.Float64()*m.group.meanWork, now
 	}
-	part *= max(r.cfg.FallMultiple*fallPart, 1) / float64(len(m.group.members))
-	fill := part * r.rateOf(now, m.group) * m.group.work
-	m.bank, m.bankAt = min(m.bank+fill*(now-m.bankAt).Seconds(), 0), now
-	return m.bank >= 0
+	capacityShare *= max(r.cfg.FallMultiple*fallMultipleFraction, 1) / float64(len(m.group.members))
+	refillRate := capacityShare * r.requestRate(now, m.group) * m.group.meanWork
+	m.coldBudget, m.coldBudgetUpdatedAt =
+		min(m.coldBudget+refillRate*(now-m.coldBudgetUpdatedAt).Seconds(), 0), now
+	return m.coldBudget >= 0
 }
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-func TestNewNamesTheBadField(t *testing.T) {
-	for want, spoil := range map[string]func(*Config){
+func TestNewNamesInvalidField(t *testing.T) {
+	for want, invalidate := range map[string]func(*Config){
 		"Config.Classes is empty": func(c *Config) { c.Classes = nil },
 		"Config.Tick":             func(c *Config) { c.Tick = 0 },
 		"Config.ColdShare":        func(c *Config) { c.ColdShare = 2 },
@@ -17,166 +17,170 @@
 		"unknown Read or Effect":  func(c *Config) { c.Classes[2].Read = 99 },
 	} {
 		cfg := testConfig()
-		spoil(&cfg)
-		if _, err := New(cfg, printer{}); err == nil || !strings.Contains(err.Error(), want) {
+		invalidate(&cfg)
+		if _, err := New(cfg, printingProxy{}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("New: %v, want an error with %q", err, want)
 		}
 	}
 }
 
-func TestModesByClass(t *testing.T) {
-	f := settled(t, testConfig(), 4)
+func TestPrimaryOrReplicaByClass(t *testing.T) {
+	f := newSettledProxy(t, testConfig(), 4)
 	for i := 0; i < 40; i++ {
-		for _, c := range []int{clsBounded, clsSession, clsAny} {
-			if s := f.serve(f.request(c, 0), ms); s.to == 1 {
-				t.Fatalf("class %d went to the primary though replicas qualify", c)
+		for _, c := range []int{classBounded, classSession, classAny} {
+			if s := f.serve(f.submit(c, 0), ms); s.to == 1 {
+				t.Fatalf("class %d went to the primary though replicas are fresh enough", c)
 			}
 		}
-		for _, c := range []int{clsGuarded, clsUnsafe, clsFresh} {
-			if s := f.serve(f.request(c, 0), ms); s.to != 1 {
+		for _, c := range []int{classGuarded, classUnsafe, classFresh} {
+			if s := f.serve(f.submit(c, 0), ms); s.to != 1 {
 				t.Fatalf("class %d went to member %d, not the primary", c, s.to)
 			}
 		}
-		f.pass(50 * ms)
+		f.advance(50 * ms)
 	}
 }
 
-func TestPingWindow(t *testing.T) {
-	f := newFront(t, testConfig())
-	f.list(ListCached, 4)
+func TestRTTWindow(t *testing.T) {
+	f := newFakeProxy(t, testConfig())
+	f.updateList(ListCached, 4)
 	f.now += 10 * ms
-	f.r.Timer(f.now, tickTimer)
-	for m, ping := range map[MemberID]time.Duration{1: ms, 2: ms, 3: 15 * ms, 4: 40 * ms} {
-		rep := Report{Role: RoleReplica, Position: f.now}
+	f.router.Timer(f.now, tickTimer)
+	for m, rtt := range map[MemberID]time.Duration{1: ms, 2: ms, 3: 15 * ms, 4: 40 * ms} {
+		report := Report{Role: RoleReplica, Position: f.now}
 		if m == 1 {
-			rep.Role = RolePrimary
+			report.Role = RolePrimary
 		}
-		f.r.Probed(f.now, Probed{Member: m, Took: ping, Report: rep})
+		f.router.Probed(f.now, Probed{Member: m, Took: rtt, Report: report})
 	}
 	seen := map[MemberID]int{}
 	for i := 0; i < 60; i++ {
-		seen[f.serve(f.request(clsSession, 0), 0).to]++
+		seen[f.serve(f.submit(classSession, 0), 0).to]++
 	}
 	if seen[4] != 0 || seen[2] < 15 || seen[3] < 15 {
-		t.Errorf("sends by member %v: want 2 and 3 alike, 4 outside the window", seen)
+		t.Errorf("sends by member %v: want 2 and 3 alike, and none at 4, outside the RTT window", seen)
 	}
 }
 
-func TestPinsHoldUntilThePrimaryChanges(t *testing.T) {
-	f := settled(t, testConfig(), 6)
-	first := f.serve(f.request(clsSession, 5), 10*ms).to
+func TestPinsHoldUntilPrimaryChanges(t *testing.T) {
+	f := newSettledProxy(t, testConfig(), 6)
+	first := f.serve(f.submit(classSession, 5), 10*ms).to
 	for i := 0; i < 20; i++ {
-		if s := f.serve(f.request(clsSession, 5), 10*ms); s.to != first {
-			t.Fatalf("read %d went to %d, pinned to %d", i, s.to, first)
+		if s := f.serve(f.submit(classSession, 5), 10*ms); s.to != first {
+			t.Fatalf("read %d went to member %d, but is pinned to %d", i, s.to, first)
 		}
 	}
-	// Another member tells that it is the primary now: the pin is void.
+	// Another member reports that it is the primary now, which invalidates the pin.
 	other := MemberID(2)
 	if first == other {
 		other = 3
 	}
 	f.now += 10 * ms
-	f.r.learn(f.r.members[other], RolePrimary, f.now, f.now, f.now)
+	f.router.updateRoleAndPosition(f.router.members[other], RolePrimary, f.now, f.now, f.now)
 	moved := false
 	for i := SessionID(0); i < 12; i++ {
-		moved = moved || f.serve(f.request(clsSession, 5), ms).to != first
-		f.r.groups[0].term++ // each further change voids the pin anew
+		moved = moved || f.serve(f.submit(classSession, 5), ms).to != first
+		f.router.groups[0].term++ // simulates another change of primary
 	}
 	if !moved {
 		t.Error("the session stayed with its old replica through twelve changes of primary")
 	}
 }
 
-func TestSessionReadNeedsItsWrites(t *testing.T) {
-	f := settled(t, testConfig(), 3)
-	w := f.mustSend(f.request(clsGuarded, 9))
+func TestSessionReadSeesItsWrites(t *testing.T) {
+	f := newSettledProxy(t, testConfig(), 3)
+	write := f.mustBeSent(f.submit(classGuarded, 9))
 	f.now += 20 * ms
-	f.r.Outcome(f.now, Outcome{Request: w.id, Member: 1, Result: OK, Finished: true, Role: RolePrimary, Position: f.now})
-	if s := f.mustSend(f.request(clsSession, 9)); s.to != 1 {
-		t.Errorf("the read went to replica %d, which is not known to hold the write", s.to)
+	f.router.Outcome(f.now, Outcome{Request: write.id, Member: 1, Result: OK, Finished: true, Role: RolePrimary,
+		Position: f.now})
+	if s := f.mustBeSent(f.submit(classSession, 9)); s.to != 1 {
+		t.Errorf("the read went to replica %d, which is not known to have the write", s.to)
 	}
-	f.pass(300 * ms)
-	f.request(clsBounded, 0) // bounded reads make pings frequent
-	f.pass(1200 * ms)
-	if s := f.mustSend(f.request(clsSession, 9)); s.to == 1 {
-		t.Error("the read still goes to the primary though replicas tell later positions")
+	f.advance(300 * ms)
+	f.submit(classBounded, 0) // bounded reads make probes frequent
+	f.advance(1200 * ms)
+	if s := f.mustBeSent(f.submit(classSession, 9)); s.to == 1 {
+		t.Error("the read still goes to the primary though replicas report later positions")
 	}
 }
 
-// A write's answer may be on its way, or lost after it was given: a read of its session sent meanwhile, or after an end
-// that proves nothing, goes where the write must be seen.
-func TestSessionReadSeesWritesWhoseAnswerHasYetToCome(t *testing.T) {
+// The answer to a write may be on its way, or lost after the commit. A read of the same session that is
+// sent meanwhile, or after an outcome that proves nothing, must go to a member that is certain to have
+// the write.
+func TestSessionReadSeesPendingWrites(t *testing.T) {
 	for _, end := range []Result{TimedOut, Reset, Failed, Cancelled} {
-		f := settled(t, testConfig(), 3)
-		w := f.mustSend(f.request(clsUnsafe, 9))
-		if s := f.serve(f.request(clsSession, 9), ms); s.to == 1 {
-			t.Error("a write that is out for less than its answer takes to count keeps reads from the replicas")
+		f := newSettledProxy(t, testConfig(), 3)
+		write := f.mustBeSent(f.submit(classUnsafe, 9))
+		if s := f.serve(f.submit(classSession, 9), ms); s.to == 1 {
+			t.Error("a write pending for less than commitKnownAfter keeps reads from the replicas")
 		}
-		f.now += knownAfter // what the replicas have told is too old now
-		if s := f.serve(f.request(clsSession, 9), ms); s.to != 1 {
-			t.Errorf("while the write is out its session's read goes to replica %d", s.to)
+		f.now += commitKnownAfter // the positions that replicas have reported are too old now
+		if s := f.serve(f.submit(classSession, 9), ms); s.to != 1 {
+			t.Errorf("while the write is pending its session's read goes to replica %d", s.to)
 		}
-		if s := f.serve(f.request(clsSession, 8), ms); s.to == 1 {
+		if s := f.serve(f.submit(classSession, 8), ms); s.to == 1 {
 			t.Error("another session's read goes to the primary")
 		}
 		f.now += 20 * ms
-		f.end(w, end)
-		if s := f.serve(f.request(clsSession, 9), ms); s.to != 1 {
-			t.Errorf("after %d, which proves nothing, the read goes to replica %d", end, s.to)
+		f.end(write, end)
+		if s := f.serve(f.submit(classSession, 9), ms); s.to != 1 {
+			t.Errorf("after result %d, which proves nothing, the read goes to replica %d", end, s.to)
 		}
-		f.pass(300 * ms)
-		f.request(clsBounded, 0) // bounded reads make pings frequent
-		f.pass(1200 * ms)
-		if s := f.serve(f.request(clsSession, 9), ms); s.to == 1 {
-			t.Error("the read still goes to the primary though replicas tell later positions")
+		f.advance(300 * ms)
+		f.submit(classBounded, 0) // bounded reads make probes frequent
+		f.advance(1200 * ms)
+		if s := f.serve(f.submit(classSession, 9), ms); s.to == 1 {
+			t.Error("the read still goes to the primary though replicas report later positions")
 		}
 	}
-	f := settled(t, testConfig(), 3)
-	for w := f.request(clsUnsafe, 9); f.finals[w] == ""; {
-		f.end(f.mustSend(w), Full)
+	f := newSettledProxy(t, testConfig(), 3)
+	for write := f.submit(classUnsafe, 9); f.finalAnswers[write] == ""; {
+		f.end(f.mustBeSent(write), Full)
 	}
-	if s := f.serve(f.request(clsSession, 9), ms); s.to == 1 {
-		t.Error("a write that never ran keeps its session's reads from the replicas")
+	if s := f.serve(f.submit(classSession, 9), ms); s.to == 1 {
+		t.Error("a write that was never executed keeps its session's reads from the replicas")
 	}
-	if len(f.r.writing) != 0 {
-		t.Errorf("%d sessions are kept as writing", len(f.r.writing))
+	if len(f.router.openWrites) != 0 {
+		t.Errorf("%d sessions still count as having open writes", len(f.router.openWrites))
 	}
 }
 
-// The age of a bounded read's data counts from its sending, which a new connection may hold up.
-func TestBoundedReadBeginsWhileItsDataIsFit(t *testing.T) {
-	f := settled(t, testConfig(), 3)
-	s := f.mustSend(f.request(clsBounded, 0))
-	m, bound := f.r.members[s.to], f.r.cfg.Classes[clsBounded].MaxAge
-	if s.to == 1 || s.by != m.position+bound {
-		t.Errorf("the read at %d may begin until %v, its data is fit until %v", s.to, s.by, m.position+bound)
+// The age of a bounded read's data counts from its sending, which a new connection may delay.
+func TestBoundedReadIsSentWhileDataIsFresh(t *testing.T) {
+	f := newSettledProxy(t, testConfig(), 3)
+	s := f.mustBeSent(f.submit(classBounded, 0))
+	m, bound := f.router.members[s.to], f.router.cfg.Classes[classBounded].MaxAge
+	if s.to == 1 || s.notAfter != m.position+bound {
+		t.Errorf("the read at %d may be sent until %v, its data is fresh enough until %v",
+			s.to, s.notAfter, m.position+bound)
 	}
-	if s := f.mustSend(f.request(clsFresh, 0)); s.to != 1 || s.by != 0 {
-		t.Errorf("a read at the primary may begin until %v, which stands at the present", s.by)
+	if s := f.mustBeSent(f.submit(classFresh, 0)); s.to != 1 || s.notAfter != 0 {
+		t.Errorf("a read at the primary may be sent until %v, want no limit: its data is current", s.notAfter)
 	}
 }
 
-func TestForgottenCommitsBecomeAFloor(t *testing.T) {
-	f := settled(t, testConfig(), 2)
-	for i := 0; i <= keepEntries; i++ {
-		f.r.remember(SessionID(i+1), f.now+time.Duration(i), f.now)
+func TestEvictedCommitsBecomeLowerBound(t *testing.T) {
+	f := newSettledProxy(t, testConfig(), 2)
+	for i := 0; i <= maxSessionEntries; i++ {
+		f.router.recordCommit(SessionID(i+1), f.now+time.Duration(i), f.now)
 	}
-	if got := f.r.tokenOf(f.now, &Request{Session: 1}); got != f.now {
-		t.Errorf("a dropped session's token is %v, want the newest dropped commit %v", got, f.now)
+	if got := f.router.sessionToken(f.now, &Request{Session: 1}); got != f.now {
+		t.Errorf("the token of an evicted session is %v, want the newest evicted commit %v", got, f.now)
 	}
-	if n := len(f.r.commits.m); n != keepEntries {
-		t.Errorf("%d commits kept, want %d", n, keepEntries)
+	if n := len(f.router.commits.values); n != maxSessionEntries {
+		t.Errorf("%d commits kept, want %d", n, maxSessionEntries)
 	}
 }
 
 func TestCarriedToken(t *testing.T) {
 	cfg := testConfig()
 	cfg.Carried = true
-	f := settled(t, cfg, 3)
+	f := newSettledProxy(t, cfg, 3)
 	send := func(age time.Duration) MemberID {
 		f.nextID++
-		f.r.Request(f.now, Request{ID: f.nextID, Class: clsSession, Session: 4, TokenAge: age, Deadline: f.now + time.Second})
-		return f.mustSend(f.nextID).to
+		f.router.Request(f.now, Request{ID: f.nextID, Class: classSession, Session: 4, TokenAge: age,
+			Deadline: f.now + time.Second})
+		return f.mustBeSent(f.nextID).to
 	}
 	if to := send(5 * ms); to != 1 {
 		t.Errorf("a read 5 ms after its write went to %d; replicas are 10 ms behind", to)
@@ -186,90 +190,92 @@
 	}
 }
 
-func TestNoKnownPrimaryRefusesUnsent(t *testing.T) {
-	f := newFront(t, testConfig())
-	f.list(ListCached, 3)
-	f.pass(20*ms, 1)
+func TestWriteIsRefusedWithoutKnownPrimary(t *testing.T) {
+	f := newFakeProxy(t, testConfig())
+	f.updateList(ListCached, 3)
+	f.advance(20*ms, 1)
 	f.now += 400 * ms
-	f.r.Timer(f.now, tickTimer)
-	id := f.request(clsUnsafe, 3)
-	f.wantFinal(id, "refused")
-	if f.count(id) != 0 || f.hints[id] == 0 {
-		t.Errorf("%d sends and hint %v, want none and a hint", f.count(id), f.hints[id])
+	f.router.Timer(f.now, tickTimer)
+	id := f.submit(classUnsafe, 3)
+	f.wantFinalAnswer(id, "refused")
+	if f.sendCount(id) != 0 || f.retryHints[id] == 0 {
+		t.Errorf("%d sends and retry-after hint %v, want no send and a hint", f.sendCount(id), f.retryHints[id])
 	}
 }
 
-func TestFreshRouterHoldsUntilPingsAnswer(t *testing.T) {
-	f := newFront(t, testConfig())
-	f.list(ListCached, 3)
-	w, rd := f.request(clsUnsafe, 1), f.request(clsBounded, 0)
-	if len(f.sends) != 0 || len(f.finals) != 0 {
-		t.Fatalf("sends %v, finals %v before any ping was answered", f.sends, f.finals)
+func TestNewRouterWaitsForFirstProbes(t *testing.T) {
+	f := newFakeProxy(t, testConfig())
+	f.updateList(ListCached, 3)
+	write, read := f.submit(classUnsafe, 1), f.submit(classBounded, 0)
+	if len(f.sends) != 0 || len(f.finalAnswers) != 0 {
+		t.Fatalf("sends %v, final answers %v before any probe was answered", f.sends, f.finalAnswers)
 	}
-	f.pass(20 * ms)
-	if s := f.mustSend(w); s.to != 1 {
-		t.Errorf("the held write went to %d", s.to)
+	f.advance(20 * ms)
+	if s := f.mustBeSent(write); s.to != 1 {
+		t.Errorf("the waiting write went to %d", s.to)
 	}
-	f.mustSend(rd)
+	f.mustBeSent(read)
 }
 
-func TestMissOnAWriteDemotesAtOnce(t *testing.T) {
-	f := settled(t, testConfig(), 3)
-	s := f.mustSend(f.request(clsUnsafe, 1))
+func TestMissOnWriteDemotesPrimary(t *testing.T) {
+	f := newSettledProxy(t, testConfig(), 3)
+	s := f.mustBeSent(f.submit(classUnsafe, 1))
 	f.now += 2 * ms
-	f.r.Outcome(f.now, Outcome{Request: s.id, Member: s.to, Result: Miss, Role: RoleReplica, Position: f.now - 10*ms})
-	f.wantFinal(s.id, "refused")
-	id := f.request(clsUnsafe, 1)
-	f.wantFinal(id, "refused")
-	if f.count(id) != 0 {
-		t.Error("a write was sent to a member that had just turned one away as a replica")
+	f.router.Outcome(f.now, Outcome{Request: s.id, Member: s.to, Result: Miss, Role: RoleReplica,
+		Position: f.now - 10*ms})
+	f.wantFinalAnswer(s.id, "refused")
+	id := f.submit(classUnsafe, 1)
+	f.wantFinalAnswer(id, "refused")
+	if f.sendCount(id) != 0 {
+		t.Error("a write was sent to a member that had just rejected one because it is a replica")
 	}
 }
 
-func TestEffectsFollowFromWhatIsProven(t *testing.T) {
+func TestRetriesByEffectAndResult(t *testing.T) {
 	for _, c := range []struct {
 		class int
 		res   Result
 		sends int
 		final string
 	}{
-		{clsUnsafe, TimedOut, 1, "failed"},
-		{clsUnsafe, Failed, 1, "failed"},
-		{clsUnsafe, Full, 3, "refused"},
-		{clsGuarded, Failed, 3, "failed"},
-		{clsBounded, Failed, 3, "refused"},
+		{classUnsafe, TimedOut, 1, "failed"},
+		{classUnsafe, Failed, 1, "failed"},
+		{classUnsafe, Full, 3, "refused"},
+		{classGuarded, Failed, 3, "failed"},
+		{classBounded, Failed, 3, "refused"},
 	} {
-		f := settled(t, testConfig(), 4)
-		id := f.request(c.class, 1)
-		for i := 0; i < 5 && f.finals[id] == ""; i++ {
+		f := newSettledProxy(t, testConfig(), 4)
+		id := f.submit(c.class, 1)
+		for i := 0; i < 5 && f.finalAnswers[id] == ""; i++ {
 			f.now += 5 * ms
-			f.end(f.mustSend(id), c.res)
+			f.end(f.mustBeSent(id), c.res)
 		}
-		if f.finals[id] != c.final || f.count(id) != c.sends {
-			t.Errorf("class %d after %d: %d sends and %q, want %d and %q", c.class, c.res, f.count(id), f.finals[id],
-				c.sends, c.final)
+		if f.finalAnswers[id] != c.final || f.sendCount(id) != c.sends {
+			t.Errorf("class %d after %d: %d sends and %q, want %d and %q",
+				c.class, c.res, f.sendCount(id), f.finalAnswers[id], c.sends, c.final)
 		}
 	}
 }
 
-func TestGuardedRepeatKeepsTheWindow(t *testing.T) {
-	f := settled(t, testConfig(), 3)
-	id := f.request(clsGuarded, 1)
-	f.pass(1195 * ms)
-	f.end(f.mustSend(id), Failed)
-	if f.count(id) != 1 {
-		t.Error("a keyed write was repeated after its window")
+func TestNoGuardedRetryAfterDedupWindow(t *testing.T) {
+	f := newSettledProxy(t, testConfig(), 3)
+	id := f.submit(classGuarded, 1)
+	f.advance(1195 * ms)
+	f.end(f.mustBeSent(id), Failed)
+	if f.sendCount(id) != 1 {
+		t.Error("a guarded write was repeated after its dedup window")
 	}
-	f.wantFinal(id, "failed")
+	f.wantFinalAnswer(id, "failed")
 }
 
-// Silence: a member that owes answers and lets a ping pass is left, and its repeatable reads move.
-func TestSilentMemberIsLeft(t *testing.T) {
-	f := settled(t, testConfig(), 4)
+// A member with pending attempts that doesn't answer a probe gets no more requests, and its reads are
+// sent elsewhere.
+func TestReadsMoveFromUnresponsiveMember(t *testing.T) {
+	f := newSettledProxy(t, testConfig(), 4)
 	var stuck []RequestID
 	for i := 0; i < 30; i++ {
-		id := f.request(clsBounded, 0)
-		if f.mustSend(id).to == 2 {
+		id := f.submit(classBounded, 0)
+		if f.mustBeSent(id).to == 2 {
 			stuck = append(stuck, id)
 		} else {
 			f.serve(id, 0)
@@ -278,226 +284,233 @@
 	if len(stuck) == 0 {
 		t.Fatal("no read went to member 2")
 	}
-	f.pass(700*ms, 2)
+	f.advance(700*ms, 2)
 	for _, id := range stuck {
-		if f.count(id) != 2 || f.mustSend(id).to == 2 {
-			t.Errorf("read %d: %d sends, the last to %d; want a second one elsewhere", id, f.count(id), f.mustSend(id).to)
+		if f.sendCount(id) != 2 || f.mustBeSent(id).to == 2 {
+			t.Errorf("read %d: %d sends, the last to %d; want a second one elsewhere",
+				id, f.sendCount(id), f.mustBeSent(id).to)
 		}
 	}
 	for i := 0; i < 30; i++ {
-		if s := f.serve(f.request(clsAny, 0), 0); s.to == 2 {
-			t.Fatal("a read went to the silent member")
+		if s := f.serve(f.submit(classAny, 0), 0); s.to == 2 {
+			t.Fatal("a read went to the unresponsive member")
 		}
 	}
 }
 
-// A ping that never went out, for the proxy had no room for its connection, says nothing of its member.
-func TestPingThatNeverWentOutIsNoSilence(t *testing.T) {
-	f := settled(t, testConfig(), 3)
+// A probe that the proxy could not send, because it had no room for a connection, says nothing about the
+// member.
+func TestUnsentProbeIsNoFailure(t *testing.T) {
+	f := newSettledProxy(t, testConfig(), 3)
 	f.probes = nil
-	for len(f.probes) == 0 { // until pings are due
+	for len(f.probes) == 0 { // until probes are due
 		f.now += 10 * ms
-		f.r.Timer(f.now, tickTimer)
+		f.router.Timer(f.now, tickTimer)
 	}
 	for _, m := range f.probes {
-		f.r.Probed(f.now, Probed{Member: m, Result: Moot})
+		f.router.Probed(f.now, Probed{Member: m, Result: Moot})
 	}
-	f.serve(f.request(clsAny, 0), 0)
-	if s := f.serve(f.request(clsUnsafe, 1), 0); s.to != 1 {
+	f.serve(f.submit(classAny, 0), 0)
+	if s := f.serve(f.submit(classUnsafe, 1), 0); s.to != 1 {
 		t.Errorf("the write went to %d, want the primary", s.to)
 	}
 }
 
-func TestSilentPrimaryRefusesWrites(t *testing.T) {
-	f := settled(t, testConfig(), 3)
-	f.pass(1500*ms, 1)
-	id := f.request(clsUnsafe, 1)
-	f.wantFinal(id, "refused")
-	if f.count(id) != 0 {
-		t.Error("a write was sent to a silent primary")
+func TestWritesAreRefusedIfPrimaryIsUnresponsive(t *testing.T) {
+	f := newSettledProxy(t, testConfig(), 3)
+	f.advance(1500*ms, 1)
+	id := f.submit(classUnsafe, 1)
+	f.wantFinalAnswer(id, "refused")
+	if f.sendCount(id) != 0 {
+		t.Error("a write was sent to an unresponsive primary")
 	}
 }
 
-// Fast failure: a member that fails quickly is benched, and gets one trial at a time.
-func TestFastFailuresAreBenched(t *testing.T) {
-	f := settled(t, testConfig(), 4)
-	hits := 0
+// A member whose attempts fail quickly is ejected, and then gets one trial request at a time.
+func TestFastFailingMemberIsEjected(t *testing.T) {
+	f := newSettledProxy(t, testConfig(), 4)
+	sends := 0
 	for i := 0; i < 200; i++ {
-		id := f.request(clsAny, 0)
-		for f.finals[id] == "" {
-			if s := f.mustSend(id); s.to == 3 {
-				hits++
+		id := f.submit(classAny, 0)
+		for f.finalAnswers[id] == "" {
+			if s := f.mustBeSent(id); s.to == 3 {
+				sends++
 				f.end(s, Failed)
 			} else {
 				f.end(s, OK)
 			}
 		}
-		f.pass(10 * ms)
+		f.advance(10 * ms)
 	}
-	if hits > 12 {
-		t.Errorf("the failing member got %d of 200 reads", hits)
+	if sends > 12 {
+		t.Errorf("the failing member got %d of 200 reads", sends)
 	}
 }
 
-// Slow though pings are quick: a member whose answers run late gets less; its peers get the rest.
-func TestSlowMemberGetsLess(t *testing.T) {
-	f := settled(t, testConfig(), 4)
-	type flight struct {
-		s   sent
+// A member that answers probes fast but requests late gets fewer requests; the others get the rest.
+func TestSlowMemberGetsFewerRequests(t *testing.T) {
+	f := newSettledProxy(t, testConfig(), 4)
+	type pendingAttempt struct {
+		s   sentAttempt
 		due time.Duration
 	}
-	var air []flight
+	var inFlight []pendingAttempt
 	got := map[MemberID]int{}
 	for i := 0; i < 1500; i++ {
-		id := f.request(clsBounded, 0)
-		if s, ok := f.last(id); ok {
+		id := f.submit(classBounded, 0)
+		if s, ok := f.lastSend(id); ok {
 			took := 60 * ms
 			if s.to == 3 {
 				took = 600 * ms
 			}
-			air = append(air, flight{s, f.now + took})
+			inFlight = append(inFlight, pendingAttempt{s, f.now + took})
 			if i > 500 {
 				got[s.to]++
 			}
 		}
-		f.pass(10 * ms)
-		var left []flight
-		for _, a := range air {
+		f.advance(10 * ms)
+		var remaining []pendingAttempt
+		for _, a := range inFlight {
 			if a.due <= f.now {
 				f.end(a.s, OK)
 			} else {
-				left = append(left, a)
+				remaining = append(remaining, a)
 			}
 		}
-		air = left
+		inFlight = remaining
 	}
 	if got[3]*4 > got[2] || got[3] == 0 {
-		t.Errorf("sends by member %v: want member 3 at under a quarter of 2's, but not starved", got)
+		t.Errorf("sends by member %v: want fewer than a quarter of member 2's at member 3, but some", got)
 	}
 }
 
-// Long reads that stall applying go where bounded reads can't, from a router's first on.
-func TestLongReadsGoToTheOneBehind(t *testing.T) {
-	f := settled(t, testConfig(), 5)
-	for i := 0; i < 300; i++ { // long reads are a small part of the work
-		f.serve(f.request(clsSession, 0), 100*ms)
+// Long reads, which stall log replay, go to a replica that is too stale for bounded reads, from the first
+// one on.
+func TestLongReadsGoToReplicaFurthestBehind(t *testing.T) {
+	f := newSettledProxy(t, testConfig(), 5)
+	for i := 0; i < 300; i++ { // so that long reads are a small part of the work
+		f.serve(f.submit(classSession, 0), 100*ms)
 	}
-	first := f.mustSend(f.request(clsAny, 0)).to
-	if again := f.mustSend(f.request(clsAny, 0)).to; again != first {
-		t.Errorf("the first long reads went to %d and %d: two replicas stall", first, again)
+	first := f.mustBeSent(f.submit(classAny, 0)).to
+	if again := f.mustBeSent(f.submit(classAny, 0)).to; again != first {
+		t.Errorf("the first long reads went to %d and %d, so that two replicas stall", first, again)
 	}
-	f.r.members[4].position = f.now - 3*time.Second
+	f.router.members[4].position = f.now - 3*time.Second
 	for i := 0; i < 2; i++ {
-		if s := f.mustSend(f.request(clsAny, 0)); s.to != 4 {
-			t.Errorf("a long read went to %d, not to the straggler", s.to)
+		if s := f.mustBeSent(f.submit(classAny, 0)); s.to != 4 {
+			t.Errorf("a long read went to %d, not to the replica furthest behind", s.to)
 		}
 	}
-	f.r.members[4].limit = 0 // crowded: its peers stay in the filter all the same
-	id := f.request(clsAny, 0)
-	f.wantFinal(id, "refused")
+	f.router.members[4].inFlightLimit = 0 // overloaded: the others must not be stalled all the same
+	id := f.submit(classAny, 0)
+	f.wantFinalAnswer(id, "refused")
 }
 
-func TestDrainStopsAtTheNews(t *testing.T) {
-	f := settled(t, testConfig(), 3)
-	for i, st := range []MemberState{Draining, Gone} {
-		e := entry(2 + i)
-		e.State = st
-		f.r.Members(f.now, List{Kind: ListDelta, Entries: []Member{e}})
+func TestListedDrainStopsReads(t *testing.T) {
+	f := newSettledProxy(t, testConfig(), 3)
+	for i, state := range []MemberState{Draining, Gone} {
+		e := newEntry(2 + i)
+		e.State = state
+		f.router.Members(f.now, List{Kind: ListDelta, Entries: []Member{e}})
 		for j := 0; j < 20; j++ {
-			if s := f.serve(f.request(clsBounded, 0), 0); int(s.to) == 2+i {
-				t.Fatalf("a read went to a member in state %d", st)
+			if s := f.serve(f.submit(classBounded, 0), 0); int(s.to) == 2+i {
+				t.Fatalf("a read went to a member in state %d", state)
 			}
 		}
 	}
 }
 
-// A member back from its start gets little at first, and no more than its peers' mean times its warmth.
-func TestColdMemberIsEased(t *testing.T) {
-	f := settled(t, testConfig(), 5)
+// A restarted member gets few requests at first: no more than the mean of the others times its warm-up
+// progress.
+func TestColdMemberIsWarmedUpSlowly(t *testing.T) {
+	f := newSettledProxy(t, testConfig(), 5)
 	for i := 0; i < 100; i++ {
-		f.serve(f.request(clsBounded, 0), 10*ms)
-		f.pass(10 * ms)
+		f.serve(f.submit(classBounded, 0), 10*ms)
+		f.advance(10 * ms)
 	}
-	e := entry(3)
+	e := newEntry(3)
 	e.Born = f.now
-	f.r.Members(f.now, List{Kind: ListDelta, Entries: []Member{e}})
+	f.router.Members(f.now, List{Kind: ListDelta, Entries: []Member{e}})
 	got := map[MemberID]int{}
 	for i := 0; i < 300; i++ {
-		got[f.serve(f.request(clsBounded, 0), 5*ms).to]++
-		f.pass(10 * ms)
+		got[f.serve(f.submit(classBounded, 0), 5*ms).to]++
+		f.advance(10 * ms)
 	}
 	if got[3]*2 > got[2] || got[3] == 0 {
-		t.Errorf("sends by member %v: want the cold one at under half of a warm one's", got)
+		t.Errorf("sends by member %v: want fewer than half of member 2's at member 3, the cold one, but some", got)
 	}
 }
 
-// A session's pin is no way round what a cold member may be sent: a crowd of pinned reads would push it over.
-func TestPinnedReadsDoNotPushAColdMemberOver(t *testing.T) {
-	f := settled(t, testConfig(), 5)
-	pinned := f.serve(f.request(clsSession, 9), 10*ms).to
-	e := entry(int(pinned))
+// Pinned reads also count against the budget of a cold member, because many of them would overload it.
+func TestPinnedReadsDoNotOverloadColdMember(t *testing.T) {
+	f := newSettledProxy(t, testConfig(), 5)
+	pinned := f.serve(f.submit(classSession, 9), 10*ms).to
+	e := newEntry(int(pinned))
 	e.Born = f.now
-	f.r.Members(f.now, List{Kind: ListDelta, Entries: []Member{e}})
-	f.pass(20 * ms)
+	f.router.Members(f.now, List{Kind: ListDelta, Entries: []Member{e}})
+	f.advance(20 * ms)
 	for i := range 20 {
-		id := f.request(clsSession, 9)
-		if s, ok := f.last(id); ok && s.to == pinned {
+		id := f.submit(classSession, 9)
+		if s, ok := f.lastSend(id); ok && s.to == pinned {
 			t.Fatalf("read %d of the session went to the cold member", i)
 		}
 		f.serve(id, 0)
 	}
 }
 
-func TestOddButLegal(t *testing.T) {
+func TestUnusualEvents(t *testing.T) {
 	cfg := testConfig()
 	cfg.Pull = true
-	f := newFront(t, cfg)
-	f.r.Outcome(f.now, Outcome{Request: 99, Result: OK})
-	f.r.Abandoned(f.now, 99)
-	f.r.Started(f.now, 99, 0)
-	f.r.Timer(f.now, 12345)
-	f.r.Probed(f.now, Probed{Member: 77})
-	f.r.Members(f.now, List{Kind: ListFailed})
-	f.list(ListFull, 3)
-	f.pass(400 * ms)
+	f := newFakeProxy(t, cfg)
+	f.router.Outcome(f.now, Outcome{Request: 99, Result: OK})
+	f.router.Abandoned(f.now, 99)
+	f.router.Started(f.now, 99, 0)
+	f.router.Timer(f.now, 12345)
+	f.router.Probed(f.now, Probed{Member: 77})
+	f.router.Members(f.now, List{Kind: ListFailed})
+	f.updateList(ListFull, 3)
+	f.advance(400 * ms)
 	f.nextID++
-	f.r.Request(f.now, Request{ID: f.nextID, Class: clsAny, Group: 8, Deadline: f.now + time.Second})
-	f.wantFinal(f.nextID, "refused") // a group with no members
+	f.router.Request(f.now, Request{ID: f.nextID, Class: classAny, Group: 8, Deadline: f.now + time.Second})
+	f.wantFinalAnswer(f.nextID, "refused") // a group without members
 	f.nextID++
-	f.r.Request(f.now, Request{ID: f.nextID, Class: 1000, Deadline: f.now + time.Second})
-	f.wantFinal(f.nextID, "failed")
-	s := f.mustSend(f.request(clsBounded, 0))
-	f.r.Members(f.now, List{Kind: ListFull, Entries: []Member{entry(1)}}) // its member is gone
+	f.router.Request(f.now, Request{ID: f.nextID, Class: 1000, Deadline: f.now + time.Second})
+	f.wantFinalAnswer(f.nextID, "failed")
+	s := f.mustBeSent(f.submit(classBounded, 0))
+	f.router.Members(f.now, List{Kind: ListFull, Entries: []Member{newEntry(1)}}) // the read's member is gone
 	f.end(s, OK)
 	f.end(s, OK)
-	f.r.Members(f.now, List{Kind: ListFull, Entries: []Member{entry(1)}})
-	if len(f.r.requests) != 0 || len(f.r.order) != 1 {
-		t.Errorf("%d requests and %d members kept, want 0 and 1", len(f.r.requests), len(f.r.order))
+	f.router.Members(f.now, List{Kind: ListFull, Entries: []Member{newEntry(1)}})
+	if len(f.router.requests) != 0 || len(f.router.orderedMembers) != 1 {
+		t.Errorf("%d requests and %d members kept, want 0 and 1",
+			len(f.router.requests), len(f.router.orderedMembers))
 	}
 }
 
-// Calls that fail are spaced out, but never further than the six seconds allow in which a change counts as told; at an
-// agent's, which costs nobody anything, no further than a drain's grace.
-func TestFailedListCallsAreSpaced(t *testing.T) {
+// Failed list calls are repeated after a pause, which must be short enough that a change is known within
+// six seconds; with a local agent, where calls cost nobody else anything, within the notice of a draining
+// member.
+func TestFailedListCallsAreRepeatedWithPauses(t *testing.T) {
 	for _, c := range []struct {
 		agent       bool
 		least, most time.Duration
 	}{{false, 250 * ms, 760 * ms}, {true, 20 * ms, 110 * ms}} {
 		cfg := testConfig()
 		cfg.Pull, cfg.Agent = true, c.agent
-		f := newFront(t, cfg)
-		f.r.Members(f.now, List{Kind: ListFailed})
+		f := newFakeProxy(t, cfg)
+		f.router.Members(f.now, List{Kind: ListFailed})
 		for failed, i := f.now, 0; i < 1000; i++ {
 			before := f.watches
 			f.now += 10 * ms
-			f.r.Timer(f.now, tickTimer)
+			f.router.Timer(f.now, tickTimer)
 			if f.watches == before {
 				continue
 			}
 			if pause := f.now - failed; pause < c.least || pause > c.most {
-				t.Errorf("agent %v: a call %v after the last one failed, want %v to %v", c.agent, pause, c.least, c.most)
+				t.Errorf("agent %v: a call %v after the last one failed, want %v to %v",
+					c.agent, pause, c.least, c.most)
 			}
-			f.r.Members(f.now, List{Kind: ListFailed})
+			f.router.Members(f.now, List{Kind: ListFailed})
 			failed = f.now
 		}
 		if least := int(10 * time.Second / c.most); f.watches < least {
@@ -506,167 +519,172 @@
 	}
 }
 
-// Stuck: a member that answers pings but no requests gets no more than a trial, and its reads move.
-func TestStuckMemberIsLeftThoughItsPingsPass(t *testing.T) {
-	f := settled(t, testConfig(), 3)
+// A member that answers probes but no requests gets no more than trial requests, and its reads are
+// sent elsewhere.
+func TestMemberThatAnswersOnlyProbesIsEjected(t *testing.T) {
+	f := newSettledProxy(t, testConfig(), 3)
 	var writes []RequestID
 	for i := 0; i < 3; i++ {
-		writes = append(writes, f.request(clsUnsafe, 1))
-		f.mustSend(writes[i])
+		writes = append(writes, f.submit(classUnsafe, 1))
+		f.mustBeSent(writes[i])
 	}
-	f.pass(400 * ms)
-	if id := f.request(clsUnsafe, 1); f.count(id) != 1 {
-		t.Fatal("refused before the aim had passed")
+	f.advance(400 * ms)
+	if id := f.submit(classUnsafe, 1); f.sendCount(id) != 1 {
+		t.Fatal("refused before the Aim had passed")
 	}
-	f.pass(700 * ms)
-	id := f.request(clsUnsafe, 1)
-	f.wantFinal(id, "refused")
-	if f.count(id) != 0 {
-		t.Error("a write was sent to a primary that has answered none for longer than its aim")
+	f.advance(700 * ms)
+	id := f.submit(classUnsafe, 1)
+	f.wantFinalAnswer(id, "refused")
+	if f.sendCount(id) != 0 {
+		t.Error("a write was sent to a primary that has answered none for longer than the Aim")
 	}
-	for _, w := range writes {
-		f.end(f.mustSend(w), OK)
+	for _, write := range writes {
+		f.end(f.mustBeSent(write), OK)
 	}
-	f.pass(2 * time.Second)
-	if id := f.request(clsUnsafe, 1); f.count(id) != 1 {
+	f.advance(2 * time.Second)
+	if id := f.submit(classUnsafe, 1); f.sendCount(id) != 1 {
 		t.Error("still refused after the primary answered")
 	}
 }
 
-// Overload: where a limit is reached, the class that earns less for its work is shed first; below it none is.
-func TestLeastMeritIsShedFirst(t *testing.T) {
+// When limits are reached, the class with the least worth for its work is shed first; below the limits
+// none is.
+func TestLeastValuableClassIsShedFirst(t *testing.T) {
 	cfg := testConfig()
-	cfg.Classes[clsBounded].Worth = 0.1 // the same work as a session read's, a tenth of the worth
-	f := settled(t, cfg, 4)
-	for _, m := range f.r.order {
-		m.limit = 10
+	cfg.Classes[classBounded].Worth = 0.1 // a session read takes the same work and is worth ten times as much
+	f := newSettledProxy(t, cfg, 4)
+	for _, m := range f.router.orderedMembers {
+		m.inFlightLimit = 10
 	}
 	shed := func(class, n int) (refused int) {
 		for i := 0; i < n; i++ {
-			if f.finals[f.request(class, 0)] == "refused" {
+			if f.finalAnswers[f.submit(class, 0)] == "refused" {
 				refused++
 			}
 		}
 		return refused
 	}
-	if n := shed(clsBounded, 6); n != 0 {
+	if n := shed(classBounded, 6); n != 0 {
 		t.Errorf("%d of 6 refused though members have room", n)
 	}
-	if n := shed(clsBounded, 40); n < 20 {
-		t.Errorf("%d of 40 cheap reads refused, want most", n)
+	if n := shed(classBounded, 40); n < 20 {
+		t.Errorf("%d of 40 low-value reads refused, want most", n)
 	}
-	if n := shed(clsSession, 10); n != 0 {
-		t.Errorf("%d of 10 dear reads refused while room was kept for them", n)
+	if n := shed(classSession, 10); n != 0 {
+		t.Errorf("%d of 10 high-value reads refused though room is reserved for them", n)
 	}
 }
 
-// Clients that leave early: quick answers alone would show a crowded member as fine.
-func TestClientsLeavingCutTheLimit(t *testing.T) {
-	f := settled(t, testConfig(), 2)
-	m := f.r.members[2]
-	before := m.limit
+// If clients that leave early did not count, the fast answers alone would hide the overload of a member.
+func TestAbandonedRequestsReduceLimit(t *testing.T) {
+	f := newSettledProxy(t, testConfig(), 2)
+	m := f.router.members[2]
+	before := m.inFlightLimit
 	for i := 0; i < 40; i++ {
-		id := f.request(clsBounded, 0)
-		if f.count(id) == 0 {
+		id := f.submit(classBounded, 0)
+		if f.sendCount(id) == 0 {
 			continue
 		}
-		f.pass(150 * ms)
+		f.advance(150 * ms)
 		if i%3 == 0 {
-			f.end(f.mustSend(id), OK)
+			f.end(f.mustBeSent(id), OK)
 		} else {
-			f.r.Abandoned(f.now, id)
-			f.finals[id] = "abandoned"
-			f.end(f.mustSend(id), Cancelled)
+			f.router.Abandoned(f.now, id)
+			f.finalAnswers[id] = "abandoned"
+			f.end(f.mustBeSent(id), Cancelled)
 		}
-		f.pongs()
+		f.answerProbes()
 	}
-	if m.limit > before/3 {
-		t.Errorf("limit %.1f of %.1f after two thirds of the clients left", m.limit, before)
+	if m.inFlightLimit > before/3 {
+		t.Errorf("limit %.1f of %.1f after two thirds of the clients left", m.inFlightLimit, before)
 	}
 }
 
-// Overload: what a tenant asks beyond its share is shed before what others ask within theirs.
-func TestBeyondItsShareIsShedFirst(t *testing.T) {
+// Under overload, requests of a tenant over its quota are shed before those of tenants within theirs.
+func TestRequestsOverQuotaAreShedFirst(t *testing.T) {
 	cfg := testConfig()
 	cfg.Tenants, cfg.OverShare = []Tenant{{Name: "a", Quota: 20}, {Name: "b", Quota: 20}}, 0.1
-	f := settled(t, cfg, 4)
+	f := newSettledProxy(t, cfg, 4)
 	refused := map[int]int{}
 	ask := func(tenant, n int) {
 		for i := 0; i < n; i++ {
 			f.nextID++
-			f.r.Request(f.now, Request{ID: f.nextID, Class: clsSession, Tenant: tenant, Deadline: f.now + time.Second})
-			if f.finals[f.nextID] == "refused" {
+			f.router.Request(f.now, Request{ID: f.nextID, Class: classSession, Tenant: tenant,
+				Deadline: f.now + time.Second})
+			if f.finalAnswers[f.nextID] == "refused" {
 				refused[tenant]++
 			}
 		}
 	}
-	for _, m := range f.r.order {
-		m.limit = 10
+	for _, m := range f.router.orderedMembers {
+		m.inFlightLimit = 10
 	}
 	ask(0, 40)
 	ask(1, 8)
 	if refused[0] < 15 || refused[1] > 0 {
-		t.Errorf("refused by tenant %v, want most of 0's beyond its share and none of 1's", refused)
+		t.Errorf("refused by tenant %v, want most of tenant 0's over its quota and none of tenant 1's", refused)
 	}
 }
 
-// Failures that strike all members alike bench nobody: a fifth lost must not become all refused.
-func TestFailuresEverywhereBenchNobody(t *testing.T) {
-	f, benched := settled(t, testConfig(), 6), 0
+// Failures that affect all members alike must eject none: a fifth of attempts lost must not become all
+// refused.
+func TestFailuresOfAllMembersEjectNone(t *testing.T) {
+	f, ejected := newSettledProxy(t, testConfig(), 6), 0
 	for i := 0; i < 600; i++ {
-		id := f.request(clsSession, 0)
-		for n := 0; f.finals[id] == ""; n++ {
+		id := f.submit(classSession, 0)
+		for n := 0; f.finalAnswers[id] == ""; n++ {
 			res := OK
 			if (i+n)%5 < 2 && n == 0 { // two fifths of the first attempts are reset
 				res = Reset
 			}
-			f.end(f.mustSend(id), res)
+			f.end(f.mustBeSent(id), res)
 		}
-		f.pass(10 * ms)
-		for _, m := range f.r.order[1:] {
-			if i > 100 && !f.r.usable(m, f.now) {
-				benched++
+		f.advance(10 * ms)
+		for _, m := range f.router.orderedMembers[1:] {
+			if i > 100 && !f.router.usable(m, f.now) {
+				ejected++
 			}
 		}
 	}
-	if benched > 60 {
-		t.Errorf("replicas were benched %d times in 500 requests", benched)
+	if ejected > 60 {
+		t.Errorf("replicas were found ejected %d times in 500 requests", ejected)
 	}
 }
 
-// Long reads leave room at their straggler by their merit: filled to its limit, most would time out there.
-func TestLongReadsFillOnlyTheirPartOfAStraggler(t *testing.T) {
-	f := settled(t, testConfig(), 5)
+// Long reads may use only a fraction of their replica's limit; at the full limit most would time out there.
+func TestLongReadsLeaveRoomAtTheirReplica(t *testing.T) {
+	f := newSettledProxy(t, testConfig(), 5)
 	for i := 0; i < 300; i++ {
-		f.serve(f.request(clsSession, 0), 100*ms)
+		f.serve(f.submit(classSession, 0), 100*ms)
 	}
-	for _, m := range f.r.order {
-		m.limit = 4
+	for _, m := range f.router.orderedMembers {
+		m.inFlightLimit = 4
 	}
 	sent := 0
 	for i := 0; i < 5; i++ {
-		sent += f.count(f.request(clsAny, 0))
+		sent += f.sendCount(f.submit(classAny, 0))
 	}
 	if sent == 0 || sent >= 4 {
 		t.Errorf("%d long reads sent at a limit of 4, want some and room left", sent)
 	}
 }
 
-// A list named the new primary while the old one's own word was newer; then the new one speaks for itself.
-func TestNewestWordOfTwoPrimariesCounts(t *testing.T) {
+// The list names a new primary, but the old one's own claim is newer; then the new one reports its role
+// itself.
+func TestNewestPrimaryClaimWins(t *testing.T) {
 	cfg := testConfig()
 	cfg.ListRole = ListRoleLate
-	f := settled(t, cfg, 3)
-	named := entry(2)
+	f := newSettledProxy(t, cfg, 3)
+	named := newEntry(2)
 	named.Primary = true
-	f.r.members[2].role, f.r.members[2].roleAt = RoleUnknown, 0
-	f.r.Members(f.now, List{Kind: ListDelta, Entries: []Member{named}})
-	if s := f.serve(f.request(clsFresh, 0), ms); s.to != 1 {
-		t.Fatalf("a late list outranked member 1's own word: sent to %d", s.to)
+	f.router.members[2].role, f.router.members[2].roleAt = RoleUnknown, 0
+	f.router.Members(f.now, List{Kind: ListDelta, Entries: []Member{named}})
+	if s := f.serve(f.submit(classFresh, 0), ms); s.to != 1 {
+		t.Fatalf("a late list overrode member 1's newer report: sent to %d", s.to)
 	}
 	f.now += 5 * ms
-	f.r.learn(f.r.members[2], RolePrimary, f.now, f.now, f.now)
-	if s := f.mustSend(f.request(clsFresh, 0)); s.to != 2 {
-		t.Errorf("sent to %d, though member 2's word is the newest", s.to)
+	f.router.updateRoleAndPosition(f.router.members[2], RolePrimary, f.now, f.now, f.now)
+	if s := f.mustBeSent(f.submit(classFresh, 0)); s.to != 2 {
+		t.Errorf("sent to %d, though member 2's report is the newest", s.to)
 	}
 }
--- a/logic/probing.go
+++ b/logic/probing.go
@@ -8,141 +8,152 @@
 )
 
 const (
-	pingEvery    = time.Second // steady ping period
-	boundPart    = 4           // while bounded reads run, ping at least every bound/boundPart
-	pingWeight   = 0.2         // moving average: about the last ten pings
-	stoodStill   = 100 * time.Millisecond
-	housekeeping = 10 * time.Millisecond  // how finely silence, pings and held requests are looked at
-	freshHold    = 300 * time.Millisecond // a new router waits so long for pings, which take milliseconds
+	baseProbeInterval = time.Second // between probes of a member in steady state
+	probesPerMaxAge   = 4           // while bounded reads arrive: least number of probes per smallest MaxAge
+	rttWeight         = 0.2         // of one sample in the moving average, which thus spans about ten probes
+	stallThreshold    = 100 * time.Millisecond
+	minTickInterval   = 10 * time.Millisecond  // resolution of probe timeouts, probing and waiting requests
+	startupWait       = 300 * time.Millisecond // for a new router's first probes, which take milliseconds
 
-	// Thin traffic: where those periods give a member over thinAll pings a second from all fronts, and cost over
-	// thinPings a request here, pings go out at need, and thinPart of requests in steady use.
-	thinAll   = 20.0 // about a hundredth of a core
-	thinPings = 2.0
-	thinPart  = 0.05
-	thinSpan  = 10 * time.Second      // over which traffic is counted
-	askWait   = 25 * time.Millisecond // a ping takes a few milliseconds; then others are asked
-	askAgain  = 100 * time.Millisecond
-	askRounds = 2
-	silentAsk = 4 * time.Second // a silent member is tried again so often, while requests come
+	// Periodic probing of a group is replaced by probing on demand if it would exceed both of these limits.
+	maxProbeRatePerMember = 20.0 // probes per second from all proxies; they take about 1% of a core
+	maxProbesPerRequest   = 2.0  // probes of the group by this proxy
 
-	// A fleet of more members than this is pinged where it is used only: pings of all at the design's shortest period would
-	// cost more than a hundredth of a core, and a connection for each member is more than a front may hold.
-	largeFleet = 32
+	backgroundProbesPerRequest = 0.05 // probes sent regularly while probing is on demand
+	requestRateWindow          = 10 * time.Second
+	probeWait                  = 25 * time.Millisecond // per round; a probe takes a few milliseconds
+	minProbeGap                = 100 * time.Millisecond
+	maxProbeRounds             = 2
+	unresponsiveProbeInterval  = 4 * time.Second // for an unresponsive member, while requests arrive
 
-	silentAfter = 80 * time.Millisecond  // pings pass beside the queue: so long tells of the machine or the way
-	quietAsk    = 150 * time.Millisecond // a member that owes answers so long is pinged out of turn
-	coldSilence = time.Second            // a silence this long may have been a restart: treat the member as cold
+	// In a larger fleet only the groups in use are probed. Probing every member at the shortest interval
+	// would take more than 1% of a core, and more connections than a proxy may hold, as each member needs
+	// one.
+	largeFleetSize = 32
+
+	// Probes bypass the request queue, so a longer delay points to the machine or the network, not to load.
+	probeReplyTimeout   = 80 * time.Millisecond
+	urgentProbeInterval = 150 * time.Millisecond // where an answer is overdue or the primary is unknown
+	restartSilence      = time.Second            // after that a member may have restarted, so it is cold
 )
 
-// begin starts the router's clockwork at its first event.
-func (r *Router) begin(now time.Duration) {
+// ensureStarted starts the timer, and the list calls if the list is not pushed, at the router's first
+// event.
+func (r *Router) ensureStarted(now time.Duration) {
 	if r.started {
 		return
 	}
-	r.started, r.startAt = true, now
-	r.act.SetTimer(tickTimer, now+max(housekeeping, r.cfg.Tick))
+	r.started, r.startedAt = true, now
+	r.proxy.SetTimer(tickTimer, now+max(minTickInterval, r.cfg.Tick))
 	if r.cfg.Pull {
-		r.ask(now)
+		r.callList(now)
 	}
 }
 
-// Timer drives all that depends on time alone.
+// Timer runs the periodic work: list calls, probes, probe timeouts, hedging and waiting requests.
 func (r *Router) Timer(now time.Duration, id TimerID) {
-	r.begin(now)
+	r.ensureStarted(now)
 	if id != tickTimer {
 		return
 	}
-	r.act.SetTimer(tickTimer, now+max(housekeeping, r.cfg.Tick))
-	if r.callAt > 0 && now-r.callAt > callPatient {
-		r.callAnswered(now, ListFailed)
+	r.proxy.SetTimer(tickTimer, now+max(minTickInterval, r.cfg.Tick))
+	if r.listCallAt > 0 && now-r.listCallAt > listCallTimeout {
+		r.listCallEnded(now, ListFailed)
 	}
-	if r.askAt > 0 && now >= r.askAt {
-		r.ask(now)
+	if r.nextListCallAt > 0 && now >= r.nextListCallAt {
+		r.callList(now)
 	}
 	switch {
-	case r.stood(now):
-		r.stoodAt = now
-	case r.large():
-		r.lookAtUsed(now)
+	case r.wasStalled(now):
+		r.stalledAt = now
+	case r.isLargeFleet():
+		r.checkActiveGroups(now)
 	default:
-		for _, m := range r.order {
-			r.look(now, m)
+		for _, m := range r.orderedMembers {
+			r.checkMember(now, m)
 		}
 	}
-	r.tickAt = now
-	r.retryHeld(now)
+	r.lastTickAt = now
+	r.resumeWaiting(now)
 }
 
-// large tells of a fleet whose members are pinged and looked after only where they are used.
-func (r *Router) large() bool { return len(r.order) > largeFleet }
+// isLargeFleet tells whether only the groups in use are probed and checked.
+func (r *Router) isLargeFleet() bool { return len(r.orderedMembers) > largeFleetSize }
 
-// use has housekeeping look at a group for as long as it owes answers or is busy.
-func (r *Router) use(g *group) {
-	if !g.used {
-		g.used = true
-		r.used = append(r.used, g)
+// markActive makes each tick check a group for as long as it has traffic, or probes or attempts pending.
+func (r *Router) markActive(g *group) {
+	if !g.active {
+		g.active = true
+		r.active = append(r.active, g)
 	}
 }
 
-// lookAtUsed looks at the groups in use, so that the work of a tick follows the traffic of this front and not the size
-// of the fleet.
-func (r *Router) lookAtUsed(now time.Duration) {
-	r.used = slices.DeleteFunc(r.used, func(g *group) bool {
-		busy := !r.thin(now, g)
+// checkActiveGroups checks the members of the groups in use, so that the work of a tick grows with this
+// proxy's traffic and not with the size of the fleet.
+func (r *Router) checkActiveGroups(now time.Duration) {
+	r.active = slices.DeleteFunc(r.active, func(g *group) bool {
+		busy := !r.isLowTraffic(now, g)
 		for _, m := range g.members {
-			r.look(now, m)
-			busy = busy || m.probing || len(m.out) > 0
+			r.checkMember(now, m)
+			busy = busy || m.probing || len(m.inFlight) > 0
 		}
-		g.used = busy
+		g.active = busy
 		return !busy
 	})
 }
 
-// stood tells of a batch after this front stood still: its times and silences are no fault of the members.
-func (r *Router) stood(now time.Duration) bool {
-	return now == r.stoodAt || r.tickAt > 0 && now-r.tickAt >= stoodStill
+// wasStalled tells whether the current events were delayed because this proxy stalled. Their answer times
+// and missing replies must not be blamed on the members.
+func (r *Router) wasStalled(now time.Duration) bool {
+	return now == r.stalledAt || r.lastTickAt > 0 && now-r.lastTickAt >= stallThreshold
 }
 
-// look notices silence and sends the pings that are due.
-func (r *Router) look(now time.Duration, m *member) {
-	if m.probing && m.heardAt < m.probedAt && now-m.probedAt > silentAfter {
-		r.lost(m, now)
+// checkMember detects an unresponsive member, hedges its attempts, and sends a probe if one is due.
+func (r *Router) checkMember(now time.Duration, m *member) {
+	if m.probing && m.lastReplyAt < m.probedAt && now-m.probedAt > probeReplyTimeout {
+		r.markUnresponsive(m, now)
 	}
 	r.hedge(now, m)
-	since := now - m.probedAt
-	// Where most answers take long anyway, a ping for each that is owed would cost more than it saves.
-	owes := len(m.out) > 0 && !m.silent &&
-		now-max(m.heardAt, m.out[0].sentAt, m.probedAt) > max(quietAsk, r.slow[m.out[0].req.Class]/2)
-	g, period, steady := m.group, r.pingPeriod(now), pingEvery
+	sinceProbe := now - m.probedAt
+	// For a class whose answers usually take long, a probe per pending answer would cost more than it
+	// saves.
+	urgent := len(m.inFlight) > 0 && !m.unresponsive &&
+		now-max(m.lastReplyAt, m.inFlight[0].sentAt, m.probedAt) >
+			max(urgentProbeInterval, r.overdueAfter[m.inFlight[0].req.Class]/2)
+	g, positionInterval, maxInterval := m.group, r.probeInterval(now), baseProbeInterval
 	if m.role == RolePrimary {
-		period = pingEvery
+		positionInterval = baseProbeInterval
 	}
-	if r.thin(now, g) {
-		owes = owes || m.silent && since >= silentAsk && g.rate.last > m.probedAt
-		steady = time.Duration(min(float64(len(g.members))/(thinPart*r.rateOf(now, g)), 3600) * 1e9)
-		period = steady
+	if r.isLowTraffic(now, g) {
+		urgent = urgent || m.unresponsive && sinceProbe >= unresponsiveProbeInterval &&
+			g.recentRequests.updatedAt > m.probedAt
+		maxInterval = time.Duration(
+			min(float64(len(g.members))/(backgroundProbesPerRequest*r.requestRate(now, g)), 3600) * 1e9)
+		positionInterval = maxInterval
 	}
-	if r.large() && m.probedAt == 0 && period > pingEvery { // nobody has needed to know it yet
-		steady, period = math.MaxInt64, math.MaxInt64
+	if r.isLargeFleet() && m.probedAt == 0 && positionInterval > baseProbeInterval { // never needed so far
+		maxInterval, positionInterval = math.MaxInt64, math.MaxInt64
 	}
-	if m.probedAt == 0 && !r.large() || owes || since >= steady || since >= period && now-m.placedAt >= period ||
-		steady == pingEvery && g.primary == nil && since >= min(period, quietAsk) {
-		r.probe(now, m)
+	if m.probedAt == 0 && !r.isLargeFleet() || urgent || sinceProbe >= maxInterval ||
+		sinceProbe >= positionInterval && now-m.positionUpdatedAt >= positionInterval ||
+		maxInterval == baseProbeInterval && g.primary == nil &&
+			sinceProbe >= min(positionInterval, urgentProbeInterval) {
+		r.sendProbe(now, m)
 	}
 }
 
-func (r *Router) probe(now time.Duration, m *member) {
+// sendProbe probes a member unless a probe of it is pending.
+func (r *Router) sendProbe(now time.Duration, m *member) {
 	if r.cfg.MayProbe && !m.probing && m.State == Ready {
 		m.probing, m.probedAt = true, now
-		r.use(m.group)
-		r.act.Probe(m.ID)
+		r.markActive(m.group)
+		r.proxy.Probe(m.ID)
 	}
 }
 
-// Probed takes the result of a ping.
+// Probed handles the result of a probe.
 func (r *Router) Probed(now time.Duration, p Probed) {
-	r.begin(now)
+	r.ensureStarted(now)
 	m := r.members[p.Member]
 	if m == nil || !m.probing {
 		return
@@ -150,109 +161,120 @@
 	m.probing = false
 	switch p.Result {
 	case OK:
-		m.ping = cmp.Or(m.ping, max(p.Took, 1))
-		m.ping += time.Duration(pingWeight * float64(p.Took-m.ping))
-		r.heard(m, now)
-		// A primary stands at the present, so its position dates the report; a replica's is no later.
-		m.queue, m.queueAt = p.Report.Queue, now
-		r.learn(m, p.Report.Role, p.Report.Position, cmp.Or(p.Report.Position, now), now)
+		m.rtt = cmp.Or(m.rtt, max(p.Took, 1))
+		m.rtt += time.Duration(rttWeight * float64(p.Took-m.rtt))
+		r.recordReply(m, now)
+		// A primary's position is the time of its report. A replica's may be earlier, so that its role
+		// never counts as newer than it is.
+		m.reportedQueue, m.queueReportedAt = p.Report.Queue, now
+		r.updateRoleAndPosition(m, p.Report.Role, p.Report.Position, cmp.Or(p.Report.Position, now), now)
 	case Full, Miss, Failed:
-		r.heard(m, now)
-	case Moot: // it never went out
+		r.recordReply(m, now)
+	case Moot: // the probe was not sent
 	default:
-		if m.heardAt <= m.probedAt {
-			r.lost(m, now)
+		if m.lastReplyAt <= m.probedAt {
+			r.markUnresponsive(m, now)
 		}
 	}
-	r.retryHeld(now)
+	r.resumeWaiting(now)
 }
 
-// opening tells whether a group is unknown to a fresh router: not all its members have answered a ping. In a large fleet
-// a request itself asks for the pings that it needs.
-func (r *Router) opening(now time.Duration, g *group) bool {
-	if now-r.startAt >= freshHold || !r.cfg.MayProbe || r.large() {
+// awaitsFirstProbes tells whether requests to a group must wait because the router is new and some
+// members have not answered their first probe. In a large fleet each request causes the probes that it
+// needs instead.
+func (r *Router) awaitsFirstProbes(now time.Duration, g *group) bool {
+	if now-r.startedAt >= startupWait || !r.cfg.MayProbe || r.isLargeFleet() {
 		return false
 	}
 	return len(g.members) == 0 || slices.ContainsFunc(g.members, func(m *member) bool {
-		return m.State == Ready && m.heardAt == 0 && !m.silent
+		return m.State == Ready && m.lastReplyAt == 0 && !m.unresponsive
 	})
 }
 
-// retryHeld releases what was held, as soon as its group is known or waiting is of no more use.
-func (r *Router) retryHeld(now time.Duration) {
-	held := r.held
-	r.held = nil
-	for _, q := range held {
-		q.held = false
+// resumeWaiting routes the waiting requests, except those that must await first probes and have time to
+// do so.
+func (r *Router) resumeWaiting(now time.Duration) {
+	waiting := r.waiting
+	r.waiting = nil
+	for _, q := range waiting {
+		q.waiting = false
 		switch {
 		case q.done:
-		case r.opening(now, q.group) && now+r.cost[q.Class] < q.Deadline-2*housekeeping:
-			r.hold(q)
+		case r.awaitsFirstProbes(now, q.group) && now+r.serviceTime[q.Class] < q.Deadline-2*minTickInterval:
+			r.addWaiting(q)
 		default:
-			r.start(now, q)
+			r.routeOrFinish(now, q)
 		}
 	}
 }
 
-// thin tells whether pings at the design's periods are too many for the members and this front's requests.
-func (r *Router) thin(now time.Duration, g *group) bool {
-	pings := 1 / r.pingPeriod(now).Seconds()
-	many := r.large() || pings*float64(r.cfg.Fronts) > thinAll
-	return many && pings*float64(len(g.members)) > thinPings*r.rateOf(now, g)
+// isLowTraffic tells whether a group is probed on demand, because periodic probes would be too many for its
+// members and for the number of this proxy's requests.
+func (r *Router) isLowTraffic(now time.Duration, g *group) bool {
+	probeRate := 1 / r.probeInterval(now).Seconds()
+	tooManyProbes := r.isLargeFleet() || probeRate*float64(r.cfg.Fronts) > maxProbeRatePerMember
+	return tooManyProbes && probeRate*float64(len(g.members)) > maxProbesPerRequest*r.requestRate(now, g)
 }
 
-// heard tells whether any member has ever answered this front.
-func (g *group) heard() bool {
-	return slices.ContainsFunc(g.members, func(m *member) bool { return m.heardAt > 0 })
+// anyReplied tells whether any member of the group has ever answered this proxy.
+func (g *group) anyReplied() bool {
+	return slices.ContainsFunc(g.members, func(m *member) bool { return m.lastReplyAt > 0 })
 }
 
-func (r *Router) rateOf(now time.Duration, g *group) float64 {
-	return g.rate.at(now, thinSpan) / min(thinSpan, now-r.startAt+time.Second).Seconds()
+// requestRate returns the number of requests per second that this proxy received for a group recently.
+func (r *Router) requestRate(now time.Duration, g *group) float64 {
+	return g.recentRequests.valueAt(now, requestRateWindow) /
+		min(requestRateWindow, now-r.startedAt+time.Second).Seconds()
 }
 
-func (r *Router) pingPeriod(now time.Duration) time.Duration {
-	if r.tightest > 0 && now-r.boundedAt < pingEvery {
-		return min(pingEvery, max(r.tightest/boundPart, r.cfg.Tick))
+// probeInterval returns the interval of periodic probes, which is shorter while bounded reads arrive.
+func (r *Router) probeInterval(now time.Duration) time.Duration {
+	if r.minMaxAge > 0 && now-r.lastBoundedReadAt < baseProbeInterval {
+		return min(baseProbeInterval, max(r.minMaxAge/probesPerMaxAge, r.cfg.Tick))
 	}
-	return pingEvery
+	return baseProbeInterval
 }
 
-// inquire holds a request that known positions and roles don't serve while it pings members drawn at random,
-// where traffic is too thin to ping all the time. It tells whether the request is to wait.
-func (r *Router) inquire(now time.Duration, q *request, n int, filter func(*member) bool) bool {
-	if !r.cfg.MayProbe || !r.thin(now, q.group) || now+askWait+r.cost[q.Class] >= q.Deadline {
+// probeAndWait probes randomly chosen members for a request that no member can serve as far as positions
+// and roles are known, and lets the request wait for the results. It does so only in groups with low
+// traffic, and tells whether the request waits.
+func (r *Router) probeAndWait(now time.Duration, q *request, count int, filter func(*member) bool) bool {
+	if !r.cfg.MayProbe || !r.isLowTraffic(now, q.group) || now+probeWait+r.serviceTime[q.Class] >= q.Deadline {
 		return false
 	}
-	waits := func(m *member) bool { return m.probing && filter(m) }
-	wait := askWait
-	if r.large() && !q.group.heard() {
-		wait = freshHold // connections have to come up first
+	isAwaited := func(m *member) bool { return m.probing && filter(m) }
+	timeout := probeWait
+	if r.isLargeFleet() && !q.group.anyReplied() {
+		timeout = startupWait // connections must be opened first
 	}
-	if q.asked > 0 && now-q.askedAt < wait && slices.ContainsFunc(q.group.members, waits) {
-		r.hold(q)
+	if q.probeRounds > 0 && now-q.lastProbeRoundAt < timeout && slices.ContainsFunc(q.group.members, isAwaited) {
+		r.addWaiting(q)
 		return true
 	}
-	more := q.asked == 0 || q.asked < askRounds && q.group.primary != nil // without one all logs stand still
-	var list []*member
+	// Without a primary no position advances, so a second round can't help.
+	anotherRound := q.probeRounds == 0 || q.probeRounds < maxProbeRounds && q.group.primary != nil
+	var candidates []*member
 	for _, m := range q.group.members {
-		if more && m.State == Ready && !m.probing && now-m.probedAt >= askAgain &&
-			(!m.silent || q.asked == 0 && n > 1) && filter(m) {
-			list = append(list, m)
+		if anotherRound && m.State == Ready && !m.probing && now-m.probedAt >= minProbeGap &&
+			(!m.unresponsive || q.probeRounds == 0 && count > 1) && filter(m) {
+			candidates = append(candidates, m)
 		}
 	}
-	if len(list) == 0 {
+	if len(candidates) == 0 {
 		return false
 	}
-	r.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	if at, ok := r.pins.get(q.pinKey()); ok && slices.Contains(list, at.to) {
-		list[0] = at.to
-	} else if i := slices.Index(list, q.group.primary); i > 0 { // next in line
-		list[0], list[i] = list[i], list[0]
+	r.rng.Shuffle(len(candidates), func(i, j int) {
+		candidates[i], candidates[j] = candidates[j], candidates[i]
+	})
+	if pinned, ok := r.pins.get(q.pinKey()); ok && slices.Contains(candidates, pinned.replica) {
+		candidates[0] = pinned.replica
+	} else if i := slices.Index(candidates, q.group.primary); i > 0 { // it serves the request if no replica can
+		candidates[0], candidates[i] = candidates[i], candidates[0]
 	}
-	for _, m := range list[:min(n+q.asked, len(list))] {
-		r.probe(now, m)
+	for _, m := range candidates[:min(count+q.probeRounds, len(candidates))] {
+		r.sendProbe(now, m)
 	}
-	q.asked, q.askedAt = q.asked+1, now
-	r.hold(q)
+	q.probeRounds, q.lastProbeRoundAt = q.probeRounds+1, now
+	r.addWaiting(q)
 	return true
 }
--- a/logic/state.go
+++ b/logic/state.go
@@ -7,141 +7,151 @@
 	"time"
 )
 
-// What a router keeps; what is done with it is in logic.go.
+// This file defines the state of a router; logic.go, probing.go and discovery.go operate on it.
 
-// Router decides for one front. It is not safe for concurrent use; calls come one at a time.
+// Router chooses a member for each request of one proxy. It is not safe for concurrent use.
 type Router struct {
-	cfg Config
-	act Actions
-	rng *rand.Rand
-
-	started   bool
-	luck      float64 // of the request in hand, against the broken part of limits
-	startAt   time.Duration
-	tickAt    time.Duration        // the last housekeeping
-	stoodAt   time.Duration        // when housekeeping was late: this front had stood still
-	members   map[MemberID]*member // looked up only, never ranged over
-	groups    map[GroupID]*group   // likewise
-	order     []*member            // all members, in the order in which they were first listed
-	leaving   bool                 // some of them are not listed any more
-	used      []*group             // those that housekeeping looks at in a large fleet
-	requests  map[RequestID]*request
-	held      []*request
-	pins      recent[pinKey, pin]
-	commits   recent[SessionID, time.Duration]
-	forgotten time.Duration     // the newest commit dropped from commits
-	writing   map[SessionID]int // writes that are out
-
-	cost      []time.Duration // per class, the bare answer time
-	slow      []time.Duration // and the time past which an answer is overdue
-	boundedAt time.Duration   // when the last bounded read came
-	tightest  time.Duration   // the tightest bound of any class
-	shares    []decaying      // what each tenant has asked for within its quota
-	missing   float64         // share of answers that don't come though their members answer in time, moving average
-	failing   float64         // share of quick failures at all members, moving average
-	retries   float64         // further attempts that may still be made
-
-	callAt time.Duration // when the outstanding list call was made; 0 = none
-	askAt  time.Duration // when to call next; 0 = no need
+	cfg   Config
+	proxy Actions
+	rng   *rand.Rand
+
+	started             bool
+	admissionDraw       float64 // random number in [0, 1) for the current request; see atLimit
+	startedAt           time.Duration
+	lastTickAt          time.Duration
+	stalledAt           time.Duration        // the last tick that came late; see wasStalled
+	members             map[MemberID]*member // for lookups only: iteration order is random
+	groups              map[GroupID]*group   // for lookups only
+	orderedMembers      []*member            // all members, in the order in which they were first listed
+	hasUnlisted         bool                 // some members are no longer listed
+	active              []*group             // groups that a tick checks in a large fleet
+	requests            map[RequestID]*request
+	waiting             []*request // requests that wait for probe results
+	pins                fifoCache[pinKey, pin]
+	commits             fifoCache[SessionID, time.Duration]
+	newestEvictedCommit time.Duration     // the newest commit evicted from commits
+	openWrites          map[SessionID]int // number of writes in flight, for sessions that have any
+
+	serviceTime       []time.Duration   // per class, estimated answer time without queueing
+	overdueAfter      []time.Duration   // per class, the time after which an answer is overdue
+	lastBoundedReadAt time.Duration     // when the last bounded read arrived
+	minMaxAge         time.Duration     // smallest MaxAge of any class; 0 = no class has one
+	tenantUsage       []decayingCounter // per tenant, recent requests within its quota
+	// lostAnswerRate is a moving average: the fraction of answers that are missing from members that
+	// otherwise answer in time.
+	lostAnswerRate float64
+	failureRate    float64 // moving average over all members: fraction of attempts that failed
+	retryTokens    float64 // retry budget: number of retries that may be sent now
+
+	listCallAt     time.Duration // when the pending list call was made; 0 = none is pending
+	nextListCallAt time.Duration // when to make the next list call; 0 = none is due
 }
 
-// member is this front's view of one process.
+// member is the router's view of one member.
 type member struct {
 	Member
 	listed   bool
 	group    *group
 	role     Role
-	roleAt   time.Duration // when the role was true at the member
-	position time.Duration // it has applied all commits up to then; a lower bound that only grows
-
-	ping     time.Duration // moving average; 0 = never answered
-	probing  bool
-	probedAt time.Duration // the last probe sent
-	heardAt  time.Duration // the last sign of life
-	placedAt time.Duration // the last news of its position
-	silent   bool
-	lostAt   time.Duration // since when silent
-
-	out      []*attempt    // this front's attempts there, oldest first
-	strain   float64       // answer time over aim, moving average
-	limit    float64       // how many attempts may be out
-	judgedAt time.Duration // the last answer held against its aim
-	easedAt  time.Duration
-	queue    float64 // requests that it last reported to be waiting
-	queueAt  time.Duration
-	cutAt    time.Duration
-	turned   bool          // a request was turned away since the limit last grew
-	failing  float64       // share of quick failures, moving average
-	benched  time.Duration // no trial before
-	coldFrom time.Duration
-	cold     bool
-	bank     float64 // while cold: work that may be sent, in seconds; zero at most
-	bankAt   time.Duration
+	roleAt   time.Duration // as of when the role is known
+	position time.Duration // all commits up to then are applied; a lower bound that only grows
+
+	rtt               time.Duration // round-trip time of probes, moving average; 0 = never answered
+	probing           bool          // a probe is pending
+	probedAt          time.Duration // when the last probe was sent
+	lastReplyAt       time.Duration // when it last answered a probe or a request
+	positionUpdatedAt time.Duration // when it last reported its position
+	unresponsive      bool          // a probe got no answer, and nothing has arrived since
+	unresponsiveSince time.Duration // when unresponsive was last set
+
+	inFlight            []*attempt    // this proxy's attempts that are pending there, oldest first
+	score               float64       // moving average of answer time divided by the class's Aim
+	inFlightLimit       float64       // concurrency limit for this proxy's attempts; may be fractional
+	scoredAt            time.Duration // when score was last updated
+	limitUpdatedAt      time.Duration // when inFlightLimit last recovered with time
+	reportedQueue       float64       // number of waiting requests in its last report
+	queueReportedAt     time.Duration
+	limitCutAt          time.Duration // when inFlightLimit was last reduced
+	limitReached        bool          // the limit has excluded the member since the limit last grew
+	failureRate         float64       // moving average: fraction of attempts that failed
+	ejectedUntil        time.Duration // as an outlier it gets no trial request before
+	coldSince           time.Duration // when it started, or returned from a long silence
+	cold                bool          // it is warming up and has reduced capacity
+	coldBudget          float64       // while cold: work that may be sent, in seconds; never above zero
+	coldBudgetUpdatedAt time.Duration
 }
 
+// group is the router's view of one replicated group.
 type group struct {
-	members  []*member
-	primary  *member
-	leader   *member // the last known primary, also while it is silent
-	work     float64 // what arrives, moving average of bare work a request
-	longWork float64 // the part of it that is long
-	rate     decaying
-	used     bool // it is in Router.used
-	term     int  // counts changes of primary; a pin of another term is void
+	members        []*member
+	primary        *member
+	lastPrimary    *member // the last known primary, kept while it is unresponsive
+	meanWork       float64 // moving average of the estimated service time per request, in seconds
+	meanLongWork   float64 // the part of meanWork that long reads cause; see isLongRead
+	recentRequests decayingCounter
+	active         bool // it is in Router.active
+	term           int  // number of changes of primary; pins of an earlier term are void
 }
 
+// request is a request that has no final answer yet, or still has attempts pending.
 type request struct {
 	Request
-	class *Class
-	group *group
-	token time.Duration // session reads: the commit that must be covered
-	tries []*attempt
-	ran   bool // some attempt may have run
-	done  bool
-	over  bool // beyond its tenant's share
-	held  bool // it waits for pings
-
-	asked   int           // how many rounds of pings were sent for it
-	askedAt time.Duration // the last
+	class      *Class
+	group      *group
+	token      time.Duration // for session reads: the commit that the read must see
+	attempts   []*attempt
+	mayHaveRun bool // some attempt may have been executed
+	done       bool // it has its final answer, or needs none
+	overQuota  bool // its tenant was over its quota
+	waiting    bool // it is in Router.waiting
+
+	probeRounds      int           // number of rounds of probes sent for it
+	lastProbeRoundAt time.Duration // when the last round was sent
 }
 
+// attempt is one sending of a request to a member.
 type attempt struct {
-	req       *request
-	n         int
-	to        *member
-	sentAt    time.Duration
-	open      bool
-	ran       bool // it may have run
-	calledOff bool
-	overdue   bool // counted as a failure: it takes longer than its class usually does
+	req             *request
+	number          int // 0 for the request's first attempt
+	target          *member
+	sentAt          time.Duration
+	pending         bool // it has no outcome yet
+	mayHaveRun      bool // its outcome doesn't exclude that it was executed
+	cancelRequested bool
+	overdue         bool // it takes much longer than usual for its class, and counts as a failure
 }
 
+// pinKey identifies the reads that share a pin.
 type pinKey struct {
 	session SessionID
 	class   int
 	group   GroupID
 }
 
+// pin is the replica that last served a session's read; it is valid until the group's term changes.
 type pin struct {
-	to   *member
-	term int
+	replica *member
+	term    int
 }
 
-// decaying is a count that shrinks evenly with the time since it last grew.
-type decaying struct {
-	sum  float64
-	last time.Duration
+// decayingCounter counts events and decays exponentially with time.
+type decayingCounter struct {
+	value     float64
+	updatedAt time.Duration
 }
 
-func (d *decaying) at(now, span time.Duration) float64 {
-	return d.sum * math.Exp(-float64(now-d.last)/float64(max(span, 1)))
+// valueAt returns the count as decayed by now.
+func (d *decayingCounter) valueAt(now, timeConstant time.Duration) float64 {
+	return d.value * math.Exp(-float64(now-d.updatedAt)/float64(max(timeConstant, 1)))
 }
 
-func (d *decaying) add(now, span time.Duration) {
-	d.sum, d.last = d.at(now, span)+1, now
+// increment counts one event.
+func (d *decayingCounter) increment(now, timeConstant time.Duration) {
+	d.value, d.updatedAt = d.valueAt(now, timeConstant)+1, now
 }
 
-func (r *Router) groupOf(id GroupID) *group {
+// getOrCreateGroup returns the group with an ID, also before it is listed.
+func (r *Router) getOrCreateGroup(id GroupID) *group {
 	if r.groups[id] == nil {
 		r.groups[id] = &group{}
 	}
@@ -150,10 +160,12 @@
 
 func (q *request) pinKey() pinKey { return pinKey{q.Session, q.Class, q.Group} }
 
-func (q *request) tried(m *member) bool {
-	return slices.ContainsFunc(q.tries, func(a *attempt) bool { return a.to == m })
+// hasTried tells whether any attempt of the request was sent to the member.
+func (q *request) hasTried(m *member) bool {
+	return slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.target == m })
 }
 
-func (q *request) open() bool {
-	return slices.ContainsFunc(q.tries, func(a *attempt) bool { return a.open })
+// pending tells whether any attempt of the request has no outcome yet.
+func (q *request) pending() bool {
+	return slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.pending })
 }
--- a/logic/validate.go
+++ b/logic/validate.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// check tells which field of a configuration makes no sense.
-func check(cfg *Config, actions Actions) error {
+// validateConfig returns an error that names the first invalid field.
+func validateConfig(cfg *Config, actions Actions) error {
 	switch {
 	case actions == nil:
-		return fmt.Errorf("logic: no Actions given")
+		return fmt.Errorf("logic: actions is nil")
 	case len(cfg.Classes) == 0:
 		return fmt.Errorf("logic: Config.Classes is empty")
 	case cfg.Tick <= 0:
