--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,4 +1,5 @@
-// Command drill hosts routers on the simulator's wire: bytes in, events; actions, bytes out. It decides nothing.
+// Command drill is the simulator adapter. It hosts routers: it decodes the simulator's events from standard input, passes
+// them to the routers, and writes the routers' actions to standard output. It makes no routing decisions.
 package main
 
 import (
@@ -21,31 +22,32 @@
 	}
 }
 
-// instance is one router and what is needed to read its records.
+// instance is one hosted router, with what its settings say about decoding its records.
 type instance struct {
-	router *logic.Router // nil where its settings were unusable
+	router *logic.Router // nil if its settings were unusable
 	scale  sim.Scale
 }
 
-// host holds the instances of this process. They share the reply buffer and nothing else.
+// host holds the instances of this process. They share the encoder of replies and nothing else.
 type host struct {
 	instances map[uint32]*instance
 	out       sim.Encoder
 }
 
+// run decodes batches of events from in and writes one reply to each, until in ends.
 func run(in io.Reader, out io.Writer) error {
 	h := host{instances: map[uint32]*instance{}}
-	dec, w := sim.NewDecoder(in), bufio.NewWriterSize(out, 1<<16)
+	decoder, writer := sim.NewDecoder(in), bufio.NewWriterSize(out, 1<<16)
 	for {
-		b, err := dec.Next()
+		batch, err := decoder.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err == nil {
-			err = dec.Each(b, h.scale, func(e sim.Event) error { h.handle(b.Now, e); return nil })
+			err = decoder.Each(batch, h.scale, func(e sim.Event) error { h.handle(batch.Now, e); return nil })
 		}
 		if err == nil {
-			err = h.out.Flush(w)
+			err = h.out.Flush(writer)
 		}
 		if err != nil {
 			return err
@@ -53,14 +55,16 @@
 	}
 }
 
+// scale returns how to decode the records of an instance, and false if there is no such instance.
 func (h *host) scale(id uint32) (sim.Scale, bool) {
-	in, ok := h.instances[id]
+	inst, ok := h.instances[id]
 	if !ok {
 		return sim.Scale{}, false
 	}
-	return in.scale, true
+	return inst.scale, true
 }
 
+// handle passes an event to the router of its instance. It also creates and deletes instances.
 func (h *host) handle(now time.Duration, e sim.Event) {
 	h.out.Instance = e.Instance
 	switch e.Kind {
@@ -93,13 +97,14 @@
 	}
 }
 
+// start creates an instance with the settings of an event, or reports why it can't.
 func (h *host) start(e sim.Event) {
-	in := &instance{}
-	h.instances[e.Instance] = in
-	s, err := settings.Parse(e.Settings, e.Seed)
+	inst := &instance{}
+	h.instances[e.Instance] = inst
+	parsed, err := settings.Parse(e.Settings, e.Seed)
 	if err == nil {
-		in.scale = sim.Scale{Origin: s.Origin, Fields: s.Fields}
-		in.router, err = logic.New(s.Config, &h.out)
+		inst.scale = sim.Scale{Origin: parsed.Origin, Fields: parsed.Fields}
+		inst.router, err = logic.New(parsed.Config, &h.out)
 	}
 	if err != nil {
 		h.out.GiveIn(err.Error())
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// batch encodes a batch at 1 s of simulated time: a header, records of 48 bytes, and the text that they refer to.
 func batch(tail string, records ...[]byte) []byte {
 	var b []byte
 	b = binary.LittleEndian.AppendUint32(b, uint32(16+48*len(records)+len(tail)))
@@ -18,12 +19,13 @@
 	return append(b, tail...)
 }
 
+// hello encodes the record that starts instance 4 with settings of the given length in the batch's text.
 func hello(settings string) []byte {
-	rec := []byte{19, 4, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0, 0, 0}
-	return binary.LittleEndian.AppendUint32(rec, uint32(len(settings)))
+	record := []byte{19, 4, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0, 0, 0}
+	return binary.LittleEndian.AppendUint32(record, uint32(len(settings)))
 }
 
-func TestUnusableSettingsAreAFault(t *testing.T) {
+func TestUnusableSettingsAreReported(t *testing.T) {
 	for settings, want := range map[string]string{
 		"{":              "not usable JSON",
 		`{"tick": 5000}`: "Config.Classes is empty",
@@ -34,12 +36,12 @@
 			t.Fatal(err)
 		}
 		if got := out.Bytes(); got[8] != 25 || !strings.Contains(string(got), want) {
-			t.Errorf("settings %s: reply %q, want a fault with %q", settings, got, want)
+			t.Errorf("settings %s: reply %q, want action 25 with %q", settings, got, want)
 		}
 	}
 }
 
-func TestARestartWithinABatchStartsAnew(t *testing.T) {
+func TestRestartWithinBatchStartsNewRouter(t *testing.T) {
 	settings := `{"tick": 5000, "domain": {"freshness": ["any"]}, "request_classes": [{"aim": 1, "hard_limit": 2}]}`
 	retire := []byte{22, 4, 0, 0, 0}
 	timer := []byte{18, 4, 0, 0, 0, 1}
@@ -49,14 +51,14 @@
 		t.Fatal(err)
 	}
 	if n := binary.LittleEndian.Uint32(out.Bytes()); n != 4 {
-		t.Errorf("%d actions in the first reply, want two timers of each start", n)
+		t.Errorf("%d actions in the first reply, want two timers for each start", n)
 	}
 }
 
-func TestBrokenInputIsAnError(t *testing.T) {
+func TestInvalidInputReturnsError(t *testing.T) {
 	for _, in := range [][]byte{batch("", []byte{18, 9, 0, 0, 0}), {1, 2, 3}, batch("", []byte{99, 4, 0, 0, 0})} {
 		if err := run(bytes.NewReader(in), &bytes.Buffer{}); err == nil {
-			t.Errorf("input % x... passed", in[:3])
+			t.Errorf("input % x... gave no error", in[:3])
 		}
 	}
 }
--- a/cmd/havenproxy/main.go
+++ b/cmd/havenproxy/main.go
@@ -1,4 +1,4 @@
-// Command havenproxy is the proxy: it routes reads and writes of its clients to replicated databases.
+// Command havenproxy is a proxy that routes its clients' reads and writes to replicated databases.
 package main
 
 import (
--- a/cmd/havenproxy/process_test.go
+++ b/cmd/havenproxy/process_test.go
@@ -17,42 +17,43 @@
 	"havenproxy/internal/wire/pg"
 )
 
-// asProxy in the environment makes this test program the proxy: the tests run it as a process of its own.
-const asProxy = "HAVENPROXY_TEST_PROCESS"
+// proxyProcessEnv is the environment variable that makes this test program run as the proxy, which the tests start as a
+// process of its own.
+const proxyProcessEnv = "HAVENPROXY_TEST_PROCESS"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProxy) != "" {
+	if os.Getenv(proxyProcessEnv) != "" {
 		main()
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-// proxyOptions is what differs between the tests' proxies.
+// proxyOptions are the options of a proxy that differ between tests.
 type proxyOptions struct {
-	known     discovery.List // the list that it starts with
-	discovery string
-	fleetSize int     // proxies that share the traffic
-	sockets   int     // descriptors
-	cpuShare  float64 // of a core; 0 = all of it
-	address   string  // where it listens; empty = at a free one
+	known     discovery.List // the member list in its configuration
+	discovery string         // the address of the discovery service
+	fleetSize int            // the number of proxies that share the traffic
+	sockets   int            // limit on descriptors
+	cpuShare  float64        // share of a core; 0 = unlimited
+	address   string         // the address to listen on; empty = a free one
 }
 
-// proxyProcess is a proxy in a process of its own.
+// proxyProcess is a proxy that runs as a process of its own.
 type proxyProcess struct {
 	address string
 	started time.Time
 	command *exec.Cmd
-	ended   chan struct{}
+	exited  chan struct{} // closed when the process has exited
 
-	path    string // of its configuration
-	options proxyOptions
+	configPath string
+	options    proxyOptions
 
 	mu  sync.Mutex
 	log bytes.Buffer
 }
 
-// freeAddress gives a loopback address that nobody listens on.
+// freeAddress returns a loopback address that nobody listens on.
 func freeAddress(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,8 +63,9 @@
 	return listener.Addr().String()
 }
 
-// settingsText is the deployment that the tests use: three classes of read and one of write.
-const settingsText = `{"discovery": "pushed", "fleet_size": %d, "tick": 5000, "zones": ["cairo-east"],
+// settingsFormat are the settings of the tests' deployment, to be completed with the fleet size. They have three classes of
+// reads and one of writes.
+const settingsFormat = `{"discovery": "pushed", "fleet_size": %d, "tick": 5000, "zones": ["cairo-east"],
  "domain": {"freshness": ["bounded", "session", "any", "write"], "max_age": [500000, 0, 0, 0],
   "list_role": "none", "server_checks": "none", "session_marks": "remembered", "stamps": true},
  "limits": {"connect_timeout": 250000, "idle_close": 15000000, "max_attempts": 8, "max_retry_after": 500000,
@@ -76,54 +78,54 @@
   {"name": "write", "aim": 1000000, "hard_limit": 3000000, "effect": "single_shot", "worth": 4}],
  "safety": {"cold": 18000000, "cold_share": 0.19, "fall_multiple": 3, "overload_for": 1500000, "stop_sending_within": 500000}}`
 
-// startProxy starts the program; it is killed at the test's end, if it runs still.
+// startProxy starts a proxy process. It is killed at the end of the test if it is still running.
 func startProxy(t *testing.T, options proxyOptions) *proxyProcess {
 	t.Helper()
 	if options.address == "" {
 		options.address = freeAddress(t)
 	}
-	p := &proxyProcess{address: options.address, started: time.Now(), ended: make(chan struct{}),
-		path: filepath.Join(t.TempDir(), "config.json"), options: options}
-	p.configure(t)
+	p := &proxyProcess{address: options.address, started: time.Now(), exited: make(chan struct{}),
+		configPath: filepath.Join(t.TempDir(), "config.json"), options: options}
+	p.writeConfig(t)
 	p.command = exec.Command(os.Args[0])
-	p.command.Env = append(os.Environ(), asProxy+"=1", "EDGE_CONFIG="+p.path)
+	p.command.Env = append(os.Environ(), proxyProcessEnv+"=1", "EDGE_CONFIG="+p.configPath)
 	p.command.Stderr = p
 	if err := p.command.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go func() { p.command.Wait(); close(p.ended) }()
+	go func() { p.command.Wait(); close(p.exited) }()
 	if options.cpuShare > 0 {
 		go p.throttle(options.cpuShare)
 	}
 	t.Cleanup(func() {
 		p.command.Process.Kill()
-		<-p.ended
+		<-p.exited
 		if t.Failed() {
-			t.Logf("the proxy's log ends:\n%s", p.tail(4000))
+			t.Logf("the end of the proxy's log:\n%s", p.logTail(4000))
 		}
 	})
 	return p
 }
 
-// configure writes the proxy's configuration.
-func (p *proxyProcess) configure(t *testing.T) {
+// writeConfig writes the proxy's configuration file.
+func (p *proxyProcess) writeConfig(t *testing.T) {
 	t.Helper()
 	config, err := json.Marshal(map[string]any{"name": "n0", "listen": p.address, "discovery": p.options.discovery,
 		"seed": "8c1f30d27a5be964", "limits": map[string]any{"memory_mb": 192, "sockets": p.options.sockets},
-		"known": p.options.known, "settings": json.RawMessage(fmt.Appendf(nil, settingsText, p.options.fleetSize))})
+		"known": p.options.known, "settings": json.RawMessage(fmt.Appendf(nil, settingsFormat, p.options.fleetSize))})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(p.path, config, 0o600); err != nil {
+	if err := os.WriteFile(p.configPath, config, 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// reload has the proxy read a configuration that names another discovery.
+// reload makes the proxy reload a configuration with another discovery address.
 func (p *proxyProcess) reload(t *testing.T, discovery string) {
 	t.Helper()
 	p.options.discovery = discovery
-	p.configure(t)
+	p.writeConfig(t)
 	if err := p.command.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
@@ -136,17 +138,18 @@
 	return p.log.Write(b)
 }
 
-func (p *proxyProcess) tail(size int) string {
+// logTail returns the last bytes of the proxy's log, at most size.
+func (p *proxyProcess) logTail(size int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	text := p.log.Bytes()
 	return string(text[max(0, len(text)-size):])
 }
 
-// throttlePeriod is how often a throttled process is stopped.
+// throttlePeriod is the period in which a throttled process is stopped once and continued once.
 const throttlePeriod = 10 * time.Millisecond
 
-// throttle leaves the process a share of a core, as a proxy's place in service does.
+// throttle limits the process to a share of a core, as proxies have in production, until the process has exited.
 func (p *proxyProcess) throttle(share float64) {
 	running := time.Duration(share * float64(throttlePeriod))
 	for {
@@ -164,16 +167,17 @@
 
 // answer is how a request ended.
 type answer struct {
-	code string        // "" = served, otherwise the SQLSTATE, or the error of the connection
-	body string        // what the database answered
-	took time.Duration // from the last byte of the request to the last of the answer
+	code string        // empty = served, otherwise the SQLSTATE or the connection's error
+	body string        // the value that the database returned
+	took time.Duration // from sending the request to the last byte of the answer
 }
 
-// ask opens a connection as soon as somebody listens, sends one query at once and waits for its answer.
-func (p *proxyProcess) ask(query string, wait time.Duration) answer {
+// sendQuery connects as soon as the proxy listens, sends one query and waits for its answer. The timeout applies to
+// connecting and to the answer separately.
+func (p *proxyProcess) sendQuery(query string, timeout time.Duration) answer {
 	var conn net.Conn
 	var err error
-	for end := time.Now().Add(wait); ; time.Sleep(100 * time.Microsecond) {
+	for end := time.Now().Add(timeout); ; time.Sleep(100 * time.Microsecond) {
 		if conn, err = net.Dial("tcp", p.address); err == nil {
 			break
 		}
@@ -183,7 +187,7 @@
 	}
 	defer conn.Close()
 	begin := time.Now()
-	conn.SetDeadline(begin.Add(wait))
+	conn.SetDeadline(begin.Add(timeout))
 	if _, err := conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), query)); err != nil {
 		return answer{code: err.Error(), took: time.Since(begin)}
 	}
@@ -192,9 +196,9 @@
 	return out
 }
 
-// readAnswer reads past the welcome to the end of the next answer.
+// readAnswer skips the greeting and reads to the end of the next answer: both end with ReadyForQuery.
 func readAnswer(reader *messageReader) (out answer) {
-	for readies := 0; readies < 2; {
+	for readyCount := 0; readyCount < 2; {
 		message, err := reader.next()
 		if err != nil {
 			return answer{code: err.Error()}
@@ -206,21 +210,22 @@
 			_, code, _ := bytes.Cut(message.Body, []byte("\x00C"))
 			out.code = string(code[:5])
 		case 'Z':
-			readies++
+			readyCount++
 		}
 	}
 	return out
 }
 
 // awaitReady waits until the proxy answers an empty query.
-func (p *proxyProcess) awaitReady(t *testing.T, wait time.Duration) {
+func (p *proxyProcess) awaitReady(t *testing.T, timeout time.Duration) {
 	t.Helper()
-	if got := p.ask("", wait); got.code != "" {
-		t.Fatalf("the proxy is not ready after %v: %s", wait, got.code)
+	if got := p.sendQuery("", timeout); got.code != "" {
+		t.Fatalf("the proxy is not ready after %v: %s", timeout, got.code)
 	}
 }
 
-func readQuery(id int, class string, wait time.Duration, group int) string {
+// readQuery returns a read of the key that belongs to the request id.
+func readQuery(id int, class string, timeout time.Duration, group int) string {
 	return fmt.Sprintf("SELECT val FROM state WHERE uid = '%016x' /* id=%016x,c=%s,d=%d,cluster=%d */",
-		id+1, id+1, class, wait.Milliseconds(), group)
+		id+1, id+1, class, timeout.Milliseconds(), group)
 }
--- a/cmd/havenproxy/standins_test.go
+++ b/cmd/havenproxy/standins_test.go
@@ -17,17 +17,17 @@
 	"havenproxy/internal/wire/pg"
 )
 
-// groupSize is how many databases of the fleet hold the same data: one primary and its replicas.
+// groupSize is the number of databases in a group: one primary and its replicas.
 const groupSize = 6
 
-// databaseFleet stands in for databases, each listening on a loopback port of its own.
+// databaseFleet is a set of stand-in databases, each listening on a loopback port of its own.
 type databaseFleet struct {
 	servers []*databaseServer
 
-	workTime time.Duration // what a request takes
+	workTime time.Duration // how long a request takes
 }
 
-// databaseServer is one database of a fleet.
+// databaseServer is one stand-in database of a fleet.
 type databaseServer struct {
 	fleet   *databaseFleet
 	name    string
@@ -36,12 +36,12 @@
 	primary bool
 
 	mu          sync.Mutex
-	connections int                  // that were accepted
-	probes      int                  // load reports that were asked for
-	arrivals    map[string]time.Time // by the request's id
+	connections int                  // accepted connections
+	probes      int                  // queries for the load report
+	arrivals    map[string]time.Time // when each request arrived, by its id
 }
 
-// startDatabases starts so many databases; they stop with the test.
+// startDatabases starts count databases, which stop at the end of the test.
 func startDatabases(t *testing.T, count int, workTime time.Duration) *databaseFleet {
 	t.Helper()
 	fleet := &databaseFleet{workTime: workTime}
@@ -59,6 +59,7 @@
 	return fleet
 }
 
+// accept serves connections until the listener is closed.
 func (s *databaseServer) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -72,10 +73,11 @@
 	}
 }
 
+// serve greets a client and answers its queries until the connection ends.
 func (s *databaseServer) serve(conn net.Conn) {
 	defer conn.Close()
 	reader := &messageReader{conn: conn}
-	if _, err := reader.cut(func(b []byte) (int, error) { _, n, err := pg.NextOpening(b); return n, err }); err != nil {
+	if _, err := reader.read(func(b []byte) (int, error) { _, n, err := pg.NextOpening(b); return n, err }); err != nil {
 		return
 	}
 	conn.Write(pg.AppendWelcome(nil))
@@ -91,6 +93,8 @@
 	}
 }
 
+// answer returns the load report for a probe, and otherwise the server's name as the one value, after workTime where the
+// query carries a routing comment.
 func (s *databaseServer) answer(text string) []byte {
 	if text == "SHOW load" {
 		s.mu.Lock()
@@ -112,7 +116,7 @@
 	return s.appendRole(appendRow(nil, s.name))
 }
 
-// appendRole tells role and position, and that the answer ends.
+// appendRole appends the server's role and position and the end of the answer.
 func (s *databaseServer) appendRole(dst []byte) []byte {
 	role := "replica"
 	if s.primary {
@@ -125,69 +129,75 @@
 	return pg.AppendReady(dst)
 }
 
+// appendMessage appends a message of the PostgreSQL protocol.
 func appendMessage(dst []byte, kind byte, body string) []byte {
 	size := len(body) + 4
 	return append(append(dst, kind, byte(size>>24), byte(size>>16), byte(size>>8), byte(size)), body...)
 }
 
+// appendRow appends an answer of one row with one value, without its ReadyForQuery message.
 func appendRow(dst []byte, value string) []byte {
 	dst = appendMessage(dst, 'T', "\x00\x01val\x00")
 	size := len(value)
-	dst = appendMessage(dst, 'D', "\x00\x01"+string([]byte{byte(size >> 24), byte(size >> 16), byte(size >> 8), byte(size)})+value)
+	dst = appendMessage(dst, 'D',
+		"\x00\x01"+string([]byte{byte(size >> 24), byte(size >> 16), byte(size >> 8), byte(size)})+value)
 	return appendMessage(dst, 'C', "SELECT 1\x00")
 }
 
-// messageReader cuts messages off what a connection brings.
+// messageReader splits the bytes read from a connection into messages.
 type messageReader struct {
-	conn net.Conn
-	left []byte
+	conn   net.Conn
+	unread []byte // read from the connection and not yet returned
 }
 
-func (r *messageReader) cut(parse func([]byte) (int, error)) ([]byte, error) {
+// read returns the bytes of the next message. Parse returns the length of the message at the front of its argument, or 0
+// if the message is incomplete.
+func (r *messageReader) read(parse func([]byte) (int, error)) ([]byte, error) {
 	for {
-		n, err := parse(r.left)
+		n, err := parse(r.unread)
 		if err != nil {
 			return nil, err
 		}
 		if n > 0 {
-			out := r.left[:n]
-			r.left = r.left[n:]
+			out := r.unread[:n]
+			r.unread = r.unread[n:]
 			return out, nil
 		}
-		in := make([]byte, 4096)
-		if n, err = r.conn.Read(in); n == 0 {
+		chunk := make([]byte, 4096)
+		if n, err = r.conn.Read(chunk); n == 0 {
 			return nil, err
 		}
-		r.left = append(r.left, in[:n]...)
+		r.unread = append(r.unread, chunk[:n]...)
 	}
 }
 
+// next returns the next message after the startup message.
 func (r *messageReader) next() (message pg.Message, err error) {
-	_, err = r.cut(func(b []byte) (n int, err error) { message, n, err = pg.Next(b); return n, err })
+	_, err = r.read(func(b []byte) (n int, err error) { message, n, err = pg.Next(b); return n, err })
 	return message, err
 }
 
-// discoveryService stands in for the agent that tells the list of databases.
+// discoveryService is a stand-in for the agent that serves the list of databases.
 type discoveryService struct {
 	address string
 
 	mu         sync.Mutex
 	generation int64
 	instances  map[string]discovery.Instance
-	changedAt  map[string]int64 // the generation in which an instance last changed
-	changed    chan struct{}    // closed with the next change
-	calls      []string
-	bytes      int // of all answers' bodies
+	changedIn  map[string]int64 // the generation in which an instance last changed
+	changed    chan struct{}    // closed by the next change
+	calls      []string         // the URL of each call
+	bytes      int              // total size of the response bodies
 }
 
-// bytesSent tells how many bytes of lists were sent.
+// bytesSent returns the total size of the lists that were sent.
 func (d *discoveryService) bytesSent() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.bytes
 }
 
-// startDiscovery starts a service that lists the fleet's databases as ready, as generation 1.
+// startDiscovery starts a service that lists all databases of the fleet as in service, in generation 1.
 func startDiscovery(t *testing.T, fleet *databaseFleet) *discoveryService {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -195,10 +205,10 @@
 		t.Fatal(err)
 	}
 	service := &discoveryService{address: listener.Addr().String(), generation: 1, instances: map[string]discovery.Instance{},
-		changedAt: map[string]int64{}, changed: make(chan struct{})}
+		changedIn: map[string]int64{}, changed: make(chan struct{})}
 	for _, server := range fleet.servers {
 		service.instances[server.name] = server.instance(discovery.InService)
-		service.changedAt[server.name] = 1
+		service.changedIn[server.name] = 1
 	}
 	server := &http.Server{Handler: service}
 	go server.Serve(listener)
@@ -206,30 +216,33 @@
 	return service
 }
 
+// instance returns the server's entry in the list.
 func (s *databaseServer) instance(lifecycle string) discovery.Instance {
-	return discovery.Instance{ID: s.name, Address: s.address, Zone: "cairo-east", Group: s.group, Lifecycle: lifecycle, Weight: 1}
+	return discovery.Instance{ID: s.name, Address: s.address, Zone: "cairo-east", Group: s.group,
+		Lifecycle: lifecycle, Weight: 1}
 }
 
-// set changes the lifecycle of databases, in one generation.
-func (d *discoveryService) set(lifecycle string, servers ...*databaseServer) {
+// setLifecycle changes the lifecycle of databases in one generation.
+func (d *discoveryService) setLifecycle(lifecycle string, servers ...*databaseServer) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.generation++
 	for _, server := range servers {
 		d.instances[server.name] = server.instance(lifecycle)
-		d.changedAt[server.name] = d.generation
+		d.changedIn[server.name] = d.generation
 	}
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// list gives what changed after a generation, and a channel that is closed when there is more; below zero, all of it.
+// list returns the changes after a generation, or the whole list if after is negative, and a channel that the next change
+// closes.
 func (d *discoveryService) list(after int64) (discovery.List, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := discovery.List{Generation: d.generation, Whole: after < 0, Instances: []discovery.Instance{}}
 	for name, instance := range d.instances {
-		if d.changedAt[name] > after && (!out.Whole || instance.Lifecycle != discovery.Terminated) {
+		if d.changedIn[name] > after && (!out.Whole || instance.Lifecycle != discovery.Terminated) {
 			out.Instances = append(out.Instances, instance)
 		}
 	}
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -16,42 +16,47 @@
 )
 
 const (
-	// Descriptors: some for the process itself, the rest for both sides.
-	spareSockets = 24
-	excessPart   = 16 // one in so many is for clients that are turned away with an answer
-	// Databases: each request under way holds a connection to one, and clients hold up to a third of the descriptors
-	// for requests. What is over that is for probes, which have a connection to each database.
+	reservedSockets = 24 // descriptors for the process itself; the rest is split between clients and databases
+	excessDivisor   = 16 // 1/excessDivisor of the descriptors serves excess clients, which only get an error answer
+	// databaseShare is the share of the descriptors for connections to databases. Each request in flight holds one, and
+	// clients hold up to a third of the descriptors for requests. What exceeds that third is for probes, which need a
+	// connection to each database.
 	databaseShare = 0.4
 
-	bufferPart  = 8        // one in so many bytes is for what clients have sent of their queries; netpoll may hold as much
-	mostBuffers = 32 << 20 // where there is room for more, too
-	memoryPart  = 0.7      // of the limit: the heap's share; stacks, buffers in the kernel and netpoll's pools take more
+	// bufferDivisor: incomplete client queries may take 1/bufferDivisor of the memory limit; netpoll may hold as much again.
+	bufferDivisor  = 8
+	maxBufferBytes = 32 << 20 // upper bound for these buffers, even where the memory limit allows more
+	// memoryLimitShare is the share of the memory limit for the Go heap. The rest is for stacks, kernel buffers and
+	// netpoll's pools.
+	memoryLimitShare = 0.7
 
-	lastClients = 500 * time.Millisecond // after SIGTERM clients still come for 0.4 s
-	drainStep   = 5 * time.Millisecond   // then it looks so often whether all have their answers
-	// SIGKILL comes 0.7 s behind the longest deadline, which counts as 3 s where it is longer.
-	longestPatience = 3 * time.Second
-	stopMargin      = 400 * time.Millisecond
-	// Until shortly before the end, clients are served on the connections that they hold: where this proxy is the only
-	// one, they have no other, and those that are closed early find nobody until its successor runs.
-	closeBefore = 300 * time.Millisecond
-	lastAnswers = 100 * time.Millisecond // the last answers are due so long before the end
+	acceptGracePeriod = 500 * time.Millisecond // new clients keep coming for 0.4 s after SIGTERM
+	drainPollInterval = 5 * time.Millisecond   // how often a draining proxy checks whether all clients have their answers
+	// SIGKILL follows SIGTERM after the longest request deadline plus 0.7 s, and deadlines over 3 s count as 3 s. The proxy
+	// exits by itself before that, stopMargin after the longest deadline.
+	longestDeadlineCap = 3 * time.Second
+	stopMargin         = 400 * time.Millisecond
+	// drainMargin is how long before the proxy's exit it closes idle clients. Until then clients are served on the
+	// connections they hold: where this is the only proxy they have no other, and a client that is closed early can't
+	// connect to anything until the next proxy process runs.
+	drainMargin  = 300 * time.Millisecond
+	answerMargin = 100 * time.Millisecond // how long before the proxy's exit the last answers are due
 
-	longestOpening = time.Second      // clients wait so long at most for the first word of discovery
-	countersEvery  = 10 * time.Second // how often the counters are logged
+	maxListenDelay     = time.Second      // how long clients wait at most for the first answer of discovery
+	counterLogInterval = 10 * time.Second // how often the counters are logged
 
 	defaultSockets        = 1024
 	defaultConnectTimeout = 250 * time.Millisecond
 )
 
-// Main runs the proxy until it is told to stop.
+// Main runs the proxy that the file named by EDGE_CONFIG configures, until a signal stops it or it fails.
 func Main() error {
-	signal.Ignore(syscall.SIGPIPE)    // a log reader that goes away must not end the proxy
-	caught := make(chan os.Signal, 4) // from the first moment: SIGHUP ends a process that doesn't catch it
-	signal.Notify(caught, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
+	signal.Ignore(syscall.SIGPIPE)     // a closed log pipe must not end the proxy
+	signals := make(chan os.Signal, 4) // caught from the start: an uncaught SIGHUP ends the process
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1, syscall.SIGHUP)
 	defer func() {
-		signal.Stop(caught)
-		close(caught) // ends the goroutine below
+		signal.Stop(signals)
+		close(signals) // ends handleSignals
 	}()
 	path := os.Getenv("EDGE_CONFIG")
 	if path == "" {
@@ -62,20 +67,20 @@
 		return err
 	}
 	if cfg.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(cfg.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(cfg.MemoryMB) * (1 << 20)))
 	}
-	p, err := start(cfg)
+	p, err := newProxy(cfg)
 	if err != nil {
 		return err
 	}
 	slog.Info("started", "name", cfg.Name, "listen", p.server.Address(), "discovery", cfg.Discovery,
 		"databases", len(cfg.Known.Instances))
-	go p.signals(caught, path)
+	go p.handleSignals(signals, path)
 	p.loop.Run()
-	if p.failed != nil {
-		return p.failed
+	if p.fatalErr != nil {
+		return p.fatalErr
 	}
-	slog.Info("stopped", "unanswered", p.front.Pending(), "counters", &p.front.Counters)
+	slog.Info("stopped", "unanswered", p.dispatcher.Pending(), "counters", &p.dispatcher.Counters)
 	return nil
 }
 
@@ -87,110 +92,119 @@
 	return settings.ParseConfig(text)
 }
 
-// proxy is the running program.
+// proxy holds the parts of the running program and how far it has come in starting and stopping.
 type proxy struct {
-	loop      *net.Loop
-	clock     state.Clock
-	front     *state.Front
-	server    *net.Server
-	discovery *net.Discovery
-
-	patience time.Duration // the longest that a request may take
-	stopping bool
-	failed   error // why the loop was stopped, or nil
-	opening  state.Deadline
-	timer    state.Deadline
-	counting state.Deadline
-	killAt   time.Duration
+	loop       *net.Loop
+	clock      state.Clock
+	dispatcher *state.Front
+	server     *net.Server
+	discovery  *net.Discovery
+
+	longestDeadline time.Duration // the longest hard limit of a request class, at most longestDeadlineCap
+	stopping        bool
+	fatalErr        error          // the error that stopped the loop, or nil
+	listenTimer     state.Deadline // runs while the listener waits for discovery
+	stopTimer       state.Deadline // the next step of stopping
+	counterTimer    state.Deadline
+	exitAt          time.Duration // when a stopping proxy exits at the latest
 }
 
-// share divides the descriptors between clients, databases, and clients that are turned away.
-func share(sockets int) (clients, connections, excess int) {
-	sockets -= spareSockets
-	connections, excess = int(databaseShare*float64(sockets)), sockets/excessPart
+// splitDescriptors divides the descriptors between clients, connections to databases, and excess clients, which only get
+// an error answer.
+func splitDescriptors(sockets int) (clients, connections, excess int) {
+	sockets -= reservedSockets
+	connections, excess = int(databaseShare*float64(sockets)), sockets/excessDivisor
 	return sockets - connections - excess, connections, excess
 }
 
-// start puts the parts together and begins to listen; nothing runs before the loop does.
-func start(cfg settings.Config) (*proxy, error) {
+// newProxy creates the parts of a proxy and binds its listen address. Nothing runs, and no client can connect, until its
+// loop runs.
+func newProxy(cfg settings.Config) (*proxy, error) {
 	sockets := cfg.Sockets
 	if sockets <= 0 {
 		sockets = defaultSockets
 	}
-	clients, connections, excess := share(sockets)
+	clients, connections, excess := splitDescriptors(sockets)
 	if clients <= 0 || connections <= 0 {
-		return nil, fmt.Errorf("configuration: limits.sockets: %d are too few", cfg.Sockets)
+		return nil, fmt.Errorf("configuration: limits.sockets: %d is too low", cfg.Sockets)
 	}
-	s := cfg.Settings
-	if s.ConnectTimeout <= 0 {
-		s.ConnectTimeout = defaultConnectTimeout
+	deployment := cfg.Settings
+	if deployment.ConnectTimeout <= 0 {
+		deployment.ConnectTimeout = defaultConnectTimeout
 	}
-	// "pushed" is how the simulator hands changes over. On sockets the agent that they are pushed to tells only who asks:
-	// without a watch the list of the start would be held for good.
-	s.Config.Agent, s.Config.Pull = !s.Config.Pull, true
+	// "pushed" means that the simulator pushes changes to the router. A real proxy has an agent on its machine instead,
+	// which answers only when asked: without a watch the proxy would keep the list it started with for good.
+	deployment.Config.Agent, deployment.Config.Pull = !deployment.Config.Pull, true
 	p := &proxy{clock: state.NewClock()}
-	databases := &net.Databases{ConnectTimeout: s.ConnectTimeout}
+	databases := &net.Databases{ConnectTimeout: deployment.ConnectTimeout}
 	var err error
-	p.front, err = state.New(state.Config{Logic: s.Config, Zones: s.Zones, IdleClose: s.IdleClose,
-		ConnectTimeout: s.ConnectTimeout, MaxConnections: connections}, p.clock, databases)
+	p.dispatcher, err = state.New(state.Config{Logic: deployment.Config, Zones: deployment.Zones,
+		IdleClose: deployment.IdleClose, ConnectTimeout: deployment.ConnectTimeout, MaxConnections: connections},
+		p.clock, databases)
 	if err != nil {
 		return nil, err
 	}
-	for _, c := range s.Config.Classes {
-		p.patience = min(max(p.patience, c.Limit), longestPatience)
+	for _, c := range deployment.Config.Classes {
+		p.longestDeadline = min(max(p.longestDeadline, c.Limit), longestDeadlineCap)
 	}
-	p.loop = net.NewLoop(p.clock, &p.front.Deadlines, &p.front.Counters)
-	databases.Loop, databases.Counters = p.loop, &p.front.Counters
-	buffers := mostBuffers
+	p.loop = net.NewLoop(p.clock, &p.dispatcher.Deadlines, &p.dispatcher.Counters)
+	databases.Loop, databases.Counters = p.loop, &p.dispatcher.Counters
+	maxBuffered := maxBufferBytes
 	if cfg.MemoryMB > 0 {
-		buffers = min(cfg.MemoryMB<<20/bufferPart, mostBuffers)
+		maxBuffered = min(cfg.MemoryMB<<20/bufferDivisor, maxBufferBytes)
 	}
-	p.server = net.NewServer(p.loop, p.clock, p.front, clients, excess, buffers)
+	p.server = net.NewServer(p.loop, p.clock, p.dispatcher, clients, excess, maxBuffered)
 	if err := p.server.Bind(cfg.Listen); err != nil {
 		return nil, err
 	}
-	p.discovery = net.NewDiscovery(p.loop, p.clock, p.front, cfg.Discovery, cfg.Known.Generation, s.Config.Agent)
-	p.loop.Post(func() { p.begin(net.ListOf(cfg.Known)) })
+	p.discovery = net.NewDiscovery(p.loop, p.clock, p.dispatcher, cfg.Discovery, cfg.Known.Generation,
+		deployment.Config.Agent)
+	p.loop.Post(func() { p.startServing(net.ListOf(cfg.Known)) })
 	return p, nil
 }
 
-// begin starts the router and lets clients come once discovery has answered or failed: what it tells counts as told from
-// the process's first moment, and the list that the proxy starts with may be old.
-func (p *proxy) begin(known state.List) {
-	begun := p.clock.Now()
+// startServing starts the router, and opens the listener when the first call to discovery has ended or maxListenDelay has
+// passed. The proxy is expected to know whatever discovery has from the moment its process starts, and the list in its
+// configuration may be out of date.
+func (p *proxy) startServing(known state.List) {
+	startedAt := p.clock.Now()
 	listen := func() {
-		p.front.Deadlines.Clear(&p.opening)
+		p.dispatcher.Deadlines.Clear(&p.listenTimer)
 		p.discovery.OnFirstEnd(nil)
 		if p.stopping {
 			return
 		}
 		if err := p.server.Listen(); err != nil {
-			p.failed = err
+			p.fatalErr = err
 			p.loop.Stop()
 			return
 		}
-		slog.Info("listening", "after", p.clock.Now()-begun)
+		slog.Info("listening", "after", p.clock.Now()-startedAt)
 	}
 	p.discovery.OnFirstEnd(listen)
-	p.front.Deadlines.Set(&p.opening, begun+longestOpening, listen)
-	p.front.Start(p.discovery, known)
-	p.logCounters()
+	p.dispatcher.Deadlines.Set(&p.listenTimer, startedAt+maxListenDelay, listen)
+	p.dispatcher.Start(p.discovery, known)
+	p.scheduleCounterLog()
 }
 
-// logCounters writes the counters from time to time: a process that is killed writes none at its end.
-func (p *proxy) logCounters() {
-	p.front.Deadlines.Set(&p.counting, p.clock.Now()+countersEvery, func() {
-		slog.Info("counters", "pending", p.front.Pending(), "connections", p.front.Connections(), "counters", &p.front.Counters)
-		p.logCounters()
+// scheduleCounterLog logs the counters at regular intervals, because a process that is killed can't log them at its end.
+func (p *proxy) scheduleCounterLog() {
+	p.dispatcher.Deadlines.Set(&p.counterTimer, p.clock.Now()+counterLogInterval, func() {
+		slog.Info("counters", "pending", p.dispatcher.Pending(), "connections", p.dispatcher.Connections(),
+			"counters", &p.dispatcher.Counters)
+		p.scheduleCounterLog()
 	})
 }
 
-// signals hands signals to the loop; path is that of the configuration.
-func (p *proxy) signals(caught <-chan os.Signal, path string) {
-	for s := range caught {
+// handleSignals handles signals until their channel is closed: SIGUSR1 logs the counters, SIGHUP
+// reloads the configuration file at path, and any other signal stops the proxy.
+func (p *proxy) handleSignals(signals <-chan os.Signal, path string) {
+	for s := range signals {
 		switch s {
 		case syscall.SIGUSR1:
-			p.loop.Post(func() { slog.Info("counters", "pending", p.front.Pending(), "counters", &p.front.Counters) })
+			p.loop.Post(func() {
+				slog.Info("counters", "pending", p.dispatcher.Pending(), "counters", &p.dispatcher.Counters)
+			})
 		case syscall.SIGHUP:
 			p.reload(path)
 		default:
@@ -199,8 +213,8 @@
 	}
 }
 
-// reload reads the configuration again and asks the discovery that it names now. All else stays as it was at the
-// start: requests, pins and connections are kept. A file that can't be used changes nothing.
+// reload reads the configuration again and switches to the discovery address in it. It applies no other change, and keeps
+// requests, pins and connections. A file that can't be used changes nothing.
 func (p *proxy) reload(path string) {
 	cfg, err := readConfig(path)
 	if err != nil {
@@ -213,33 +227,35 @@
 	})
 }
 
-// stop ends the proxy in good order: it goes on as before while clients still come, serves those that it has for as
-// long as their answers can come in time, then closes what is idle and ends with its last answer.
+// stop shuts the proxy down gracefully. It accepts new clients for acceptGracePeriod, then serves those that are connected
+// until drainMargin before its exit, then closes idle clients and exits after the last answer.
 func (p *proxy) stop() {
 	if p.stopping {
 		return
 	}
 	p.stopping = true
-	slog.Info("stopping", "pending", p.front.Pending())
+	slog.Info("stopping", "pending", p.dispatcher.Pending())
 	now := p.clock.Now()
-	p.killAt = now + p.patience + stopMargin
-	p.front.End(p.killAt - lastAnswers)
-	p.front.Deadlines.Set(&p.timer, now+lastClients, func() {
+	p.exitAt = now + p.longestDeadline + stopMargin
+	p.dispatcher.End(p.exitAt - answerMargin)
+	p.dispatcher.Deadlines.Set(&p.stopTimer, now+acceptGracePeriod, func() {
 		p.server.EndListening()
-		p.front.Deadlines.Set(&p.timer, p.killAt-closeBefore, p.drain)
+		p.dispatcher.Deadlines.Set(&p.stopTimer, p.exitAt-drainMargin, p.drain)
 	})
 }
 
+// drain closes clients as soon as they wait for no answer, and polls until none is left.
 func (p *proxy) drain() {
 	p.server.Drain()
-	p.front.Deadlines.Set(&p.timer, p.clock.Now()+drainStep, p.drained)
+	p.dispatcher.Deadlines.Set(&p.stopTimer, p.clock.Now()+drainPollInterval, p.pollDrained)
 }
 
-func (p *proxy) drained() {
+// pollDrained stops the loop once every client is closed and every request has ended, or at exitAt.
+func (p *proxy) pollDrained() {
 	now := p.clock.Now()
-	if p.server.Drained(now >= p.killAt-lastAnswers) && p.front.Pending() == 0 || now >= p.killAt {
+	if p.server.Drained(now >= p.exitAt-answerMargin) && p.dispatcher.Pending() == 0 || now >= p.exitAt {
 		p.loop.Stop()
 		return
 	}
-	p.front.Deadlines.Set(&p.timer, now+drainStep, p.drained)
+	p.dispatcher.Deadlines.Set(&p.stopTimer, now+drainPollInterval, p.pollDrained)
 }
--- a/internal/run/run_test.go
+++ b/internal/run/run_test.go
@@ -18,22 +18,25 @@
 	"havenproxy/internal/wire/settings"
 )
 
-const config = `{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f",
+// configFormat is a configuration, to be completed with the number of descriptors and the address of the one database.
+const configFormat = `{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1f",
  "limits": {"memory_mb": 192, "sockets": %d},
  "known": {"generation": 1, "reset": true, "instances": [{"instanceId": "m", "hostPort": "%s", "lifecycle": "in_service"}]},
  "settings": {"tick": 1000, "fleet_size": 1, "domain": {"freshness": ["any"]},
   "request_classes": [{"name": "any", "aim": 10000000, "hard_limit": 20000000, "effect": "free"}]}}`
 
-func startAt(t *testing.T, database string, sockets int) (*proxy, error) {
-	cfg, err := settings.ParseConfig(fmt.Appendf(nil, config, sockets, database))
+// newTestProxy creates a proxy with one database. Its loop does not run yet.
+func newTestProxy(t *testing.T, database string, sockets int) (*proxy, error) {
+	cfg, err := settings.ParseConfig(fmt.Appendf(nil, configFormat, sockets, database))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return start(cfg)
+	return newProxy(cfg)
 }
 
-// A database that answers its first query when it is told to.
-func slowDatabase(t *testing.T, asked, answer chan struct{}) string {
+// startSlowDatabase starts a database that closes received when the first query has come, and answers it when answer is
+// closed. It returns the database's address.
+func startSlowDatabase(t *testing.T, received, answer chan struct{}) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -46,15 +49,15 @@
 		}
 		defer conn.Close()
 		conn.Write(pg.AppendWelcome(nil))
-		in := make([]byte, 4096)
+		chunk := make([]byte, 4096)
 		for got := []byte(nil); !bytes.Contains(got, []byte("SELECT val")); {
-			n, err := conn.Read(in)
+			n, err := conn.Read(chunk)
 			if err != nil {
 				return
 			}
-			got = append(got, in[:n]...)
+			got = append(got, chunk[:n]...)
 		}
-		close(asked)
+		close(received)
 		<-answer
 		conn.Write(pg.AppendReady([]byte("D\x00\x00\x00\x0b\x00\x01\x00\x00\x00\x01vC\x00\x00\x00\x0dSELECT 1\x00")))
 		io.Copy(io.Discard, conn)
@@ -62,51 +65,51 @@
 	return ln.Addr().String()
 }
 
-// dialOnceListening connects to a proxy that has just been started.
-func dialOnceListening(t *testing.T, address string) net.Conn {
+// dialWithRetry connects to a proxy as soon as it listens.
+func dialWithRetry(t *testing.T, address string) net.Conn {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		conn, err := net.Dial("tcp", address)
 		if err == nil {
 			return conn
 		}
-		if time.Now().After(end) { // only there to end a test that hangs
+		if time.Now().After(end) { // only keeps the test from hanging
 			t.Fatal(err)
 		}
 	}
 }
 
-// After the signal the proxy goes on taking clients for a while, serves those that it has, answers all that it has
-// taken, closes idle clients, and ends by itself.
-func TestStopAnswersWhatIsTaken(t *testing.T) {
-	asked, answer := make(chan struct{}), make(chan struct{})
-	p, err := startAt(t, slowDatabase(t, asked, answer), 1024)
+// After the signal the proxy accepts new clients for a while, serves the connected ones, answers every request that it has
+// accepted, closes idle clients, and exits by itself.
+func TestStopAnswersAcceptedRequests(t *testing.T) {
+	received, answer := make(chan struct{}), make(chan struct{})
+	p, err := newTestProxy(t, startSlowDatabase(t, received, answer), 1024)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.patience = time.Hour // it need not hurry
-	ended := make(chan struct{})
-	go func() { p.loop.Run(); close(ended) }()
+	p.longestDeadline = time.Hour // exitAt must not end the test
+	exited := make(chan struct{})
+	go func() { p.loop.Run(); close(exited) }()
 	open := func() net.Conn {
-		conn := dialOnceListening(t, p.server.Address())
+		conn := dialWithRetry(t, p.server.Address())
 		t.Cleanup(func() { conn.Close() })
 		conn.SetDeadline(time.Now().Add(20 * time.Second))
 		return conn
 	}
-	ready := pg.AppendEmpty(nil)
-	hello := pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), "")
+	emptyAnswer := pg.AppendEmpty(nil)
+	startup := pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), "")
 	idle, busy := open(), open()
-	idle.Write(hello)
+	idle.Write(startup)
 	busy.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"),
 		"SELECT val FROM state WHERE uid = 'a' /* id=1,c=any,d=15000,cluster=0 */"))
-	<-asked
+	<-received
 	p.loop.Post(func() {
 		p.stop()
-		p.front.Deadlines.Clear(&p.timer) // the test tells when the next steps come
+		p.dispatcher.Deadlines.Clear(&p.stopTimer) // the test triggers the next steps itself
 	})
 	late := open()
-	late.Write(hello)
-	want := append(pg.AppendWelcome(nil), ready...)
+	late.Write(startup)
+	want := append(pg.AppendWelcome(nil), emptyAnswer...)
 	clients := map[string]net.Conn{"idle": idle, "late": late}
 	expect := func(want []byte) {
 		for name, conn := range clients {
@@ -119,37 +122,40 @@
 	expect(want)
 	p.loop.Post(p.server.EndListening)
 	for _, conn := range clients {
-		conn.Write(pg.AppendQuery(nil, "")) // a client uses the connection that it holds while that is open
+		conn.Write(pg.AppendQuery(nil, "")) // connected clients are still served
 	}
-	expect(ready)
+	expect(emptyAnswer)
 	p.loop.Post(p.drain)
 	for name, conn := range clients {
 		if got, err := io.ReadAll(conn); err != nil || len(got) > 0 {
-			t.Errorf("the %s client got %q before its end, error %v", name, got, err)
+			t.Errorf("the %s client got %q before its connection was closed, error %v", name, got, err)
 		}
 	}
-	close(answer) // the idle ones are closed, this one still waits
+	close(answer) // the idle clients are closed, the busy one still waits
 	if got, err := io.ReadAll(busy); err != nil || !bytes.Contains(got, []byte("\x00\x00\x00\x01vC")) {
 		t.Errorf("the busy client got %q, error %v", got, err)
 	}
-	<-ended
-	if p.front.Pending() != 0 || p.front.Counters.Served != 1 {
-		t.Errorf("%d requests pending, %d served", p.front.Pending(), p.front.Counters.Served)
+	<-exited
+	if p.dispatcher.Pending() != 0 || p.dispatcher.Counters.Served != 1 {
+		t.Errorf("%d requests pending, %d served", p.dispatcher.Pending(), p.dispatcher.Counters.Served)
 	}
 }
 
-// Clients hold up to a third of the descriptors for requests, and each of those holds a connection to a database. With a
-// quarter for databases, a crowd found no connection while clients' places stood empty.
-func TestDescriptorsServeAsManyRequestsAsClientsMayHave(t *testing.T) {
+// Clients hold up to a third of the descriptors for requests, and each of those needs a connection to a database. With a
+// quarter of the descriptors for databases, requests under high load found no connection while descriptors for clients were
+// free.
+func TestDescriptorSplitCoversRequestsOfAllClients(t *testing.T) {
 	for _, sockets := range []int{256, 384, 1024} {
-		clients, connections, excess := share(sockets)
-		if requests := sockets / 3; connections <= requests || clients <= requests || clients+connections+excess+spareSockets > sockets {
-			t.Errorf("of %d descriptors: %d for clients, %d for databases, %d for excess", sockets, clients, connections, excess)
+		clients, connections, excess := splitDescriptors(sockets)
+		if requests := sockets / 3; connections <= requests || clients <= requests ||
+			clients+connections+excess+reservedSockets > sockets {
+			t.Errorf("of %d descriptors: %d for clients, %d for databases, %d for excess clients",
+				sockets, clients, connections, excess)
 		}
 	}
 }
 
-func TestBadConfigurationIsOneLine(t *testing.T) {
+func TestConfigurationErrorsAreOneLine(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	for want, text := range map[string]string{"EDGE_CONFIG": "", "no such file": "missing", "not usable JSON": "{"} {
 		path := file
@@ -166,13 +172,13 @@
 			t.Errorf("error %v, want one line with %q", err, want)
 		}
 	}
-	if _, err := startAt(t, "127.0.0.1:1", 10); err == nil || !strings.Contains(err.Error(), "limits.sockets") {
+	if _, err := newTestProxy(t, "127.0.0.1:1", 10); err == nil || !strings.Contains(err.Error(), "limits.sockets") {
 		t.Errorf("ten descriptors: %v", err)
 	}
 }
 
-// discovery is a service that knows no databases; it tells the first line of each call.
-func discovery(t *testing.T) (address string, calls chan string) {
+// startDiscovery starts a discovery service that lists no databases, and sends the URL of each call to a channel.
+func startDiscovery(t *testing.T) (address string, calls chan string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -180,7 +186,7 @@
 	calls = make(chan string, 99)
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- r.URL.String()
-		if r.URL.Query().Has("after") { // a watch without news, until the proxy gives it up
+		if r.URL.Query().Has("after") { // a watch without changes, until the proxy cancels it
 			<-r.Context().Done()
 			return
 		}
@@ -191,93 +197,96 @@
 	return ln.Addr().String(), calls
 }
 
-// lines are the log lines told so far, one at a time.
-type lines chan string
+// logLines is a log writer that makes each line available on a channel.
+type logLines chan string
 
-func (l lines) Write(b []byte) (int, error) { l <- string(b); return len(b), nil }
+// Write implements io.Writer.
+func (l logLines) Write(b []byte) (int, error) { l <- string(b); return len(b), nil }
 
-func (l lines) until(t *testing.T, text string) string {
+// waitFor returns the next line that contains text, and drops the lines before it.
+func (l logLines) waitFor(t *testing.T, text string) string {
 	for {
 		select {
 		case line := <-l:
 			if strings.Contains(line, text) {
 				return line
 			}
-		case <-time.After(20 * time.Second): // only there to end a test that hangs
-			t.Fatalf("no line with %q", text)
+		case <-time.After(20 * time.Second): // only keeps the test from hanging
+			t.Fatalf("no log line with %q", text)
 		}
 	}
 }
 
-// Discovery tells only who asks. Where the settings name it "pushed", as the simulator has it, the proxy never asked
-// and held the list of its start for good.
-func TestListIsWatchedWhereTheSettingsSayPushed(t *testing.T) {
-	address, calls := discovery(t)
-	text := strings.Replace(fmt.Sprintf(config, 1024, "127.0.0.1:9"), "127.0.0.1:1", address, 1)
+// Discovery answers only when asked. With "pushed" discovery in the settings, which only the simulator implements, the proxy
+// never asked and kept the list it started with for good.
+func TestPushedDiscoveryIsWatched(t *testing.T) {
+	address, calls := startDiscovery(t)
+	text := strings.Replace(fmt.Sprintf(configFormat, 1024, "127.0.0.1:9"), "127.0.0.1:1", address, 1)
 	cfg, err := settings.ParseConfig([]byte(strings.Replace(text, `"tick"`, `"discovery": "pushed", "tick"`, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := start(cfg)
+	p, err := newProxy(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan struct{})
-	go func() { p.loop.Run(); close(ended) }()
+	exited := make(chan struct{})
+	go func() { p.loop.Run(); close(exited) }()
 	select {
 	case got := <-calls:
 		if want := "/v1/endpoints?after=1&wait_ms=50"; got != want {
 			t.Errorf("discovery got %s, want %s", got, want)
 		}
-	case <-time.After(20 * time.Second): // only there to end a test that hangs
+	case <-time.After(20 * time.Second): // only keeps the test from hanging
 		t.Error("discovery was never asked")
 	}
 	p.loop.Post(func() {
 		p.server.Drain()
 		p.loop.Stop()
 	})
-	<-ended
+	<-exited
 }
 
-// SIGHUP used to end the proxy. It moves discovery to the address that the file names now, at once and with the
-// whole list; requests in hand go on. A file that can't be used is told in one line and changes nothing.
-func TestHangUpMovesDiscoveryAndKeepsRequests(t *testing.T) {
-	log := make(lines, 999)
+// SIGHUP used to end the proxy. It must switch at once to the discovery address that the file names now, begin there with
+// the whole list, and keep open requests. A file that can't be used is logged in one line and changes nothing.
+func TestSIGHUPSwitchesDiscoveryAndKeepsRequests(t *testing.T) {
+	log := make(logLines, 999)
 	defer slog.SetDefault(slog.Default())
 	slog.SetDefault(slog.New(slog.NewTextHandler(log, nil)))
-	asked, answer := make(chan struct{}), make(chan struct{})
-	text := strings.Replace(fmt.Sprintf(config, 1024, slowDatabase(t, asked, answer)), `"tick"`, `"discovery": "on_request", "tick"`, 1)
-	before, firstCalls := discovery(t)
-	after, calls := discovery(t)
+	received, answer := make(chan struct{}), make(chan struct{})
+	text := strings.Replace(fmt.Sprintf(configFormat, 1024, startSlowDatabase(t, received, answer)),
+		`"tick"`, `"discovery": "on_request", "tick"`, 1)
+	oldAddress, oldCalls := startDiscovery(t)
+	newAddress, newCalls := startDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	write(strings.Replace(text, "127.0.0.1:1", before, 1))
+	write(strings.Replace(text, "127.0.0.1:1", oldAddress, 1))
 	t.Setenv("EDGE_CONFIG", path)
-	ended := make(chan error)
-	go func() { ended <- Main() }()
-	_, address, _ := strings.Cut(log.until(t, "msg=started"), "listen=")
-	client := dialOnceListening(t, strings.Fields(address)[0])
+	exited := make(chan error)
+	go func() { exited <- Main() }()
+	_, address, _ := strings.Cut(log.waitFor(t, "msg=started"), "listen=")
+	client := dialWithRetry(t, strings.Fields(address)[0])
 	defer client.Close()
 	client.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"),
 		"SELECT val FROM state WHERE uid = 'a' /* id=1,c=any,d=15000,cluster=0 */"))
-	<-asked
-	<-firstCalls
+	<-received
+	<-oldCalls
 
 	write("{")
 	syscall.Kill(os.Getpid(), syscall.SIGHUP)
-	if line := log.until(t, "can't reload"); strings.Count(line, "\n") != 1 {
-		t.Errorf("a bad file is told as %q", line)
+	if line := log.waitFor(t, "can't reload"); strings.Count(line, "\n") != 1 {
+		t.Errorf("an unusable file is logged as %q", line)
 	}
-	write(strings.Replace(text, "127.0.0.1:1", after, 1))
+	write(strings.Replace(text, "127.0.0.1:1", newAddress, 1))
 	syscall.Kill(os.Getpid(), syscall.SIGHUP)
-	log.until(t, "msg=reloaded")
+	log.waitFor(t, "msg=reloaded")
 	for _, want := range []string{"/v1/endpoints", "/v1/endpoints?after=7&wait_ms=1500"} {
-		if got := <-calls; got != want {
-			t.Errorf("the new address got %s, want %s", got, want)
+		if got := <-newCalls; got != want {
+			t.Errorf("discovery at the new address got %s, want %s", got, want)
 		}
 	}
 	close(answer)
@@ -291,21 +300,21 @@
 		all = append(all, got[:n]...)
 	}
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
-	if err := <-ended; err != nil {
+	if err := <-exited; err != nil {
 		t.Error(err)
 	}
 }
 
-// A SIGHUP that comes while the proxy starts used to end it. It is heeded once the proxy runs.
-func TestHangUpDuringTheStart(t *testing.T) {
-	log := make(lines, 999)
+// A SIGHUP during the proxy's start used to end it. It must be handled once the proxy runs.
+func TestSIGHUPDuringStart(t *testing.T) {
+	log := make(logLines, 999)
 	defer slog.SetDefault(slog.Default())
 	slog.SetDefault(slog.New(slog.NewTextHandler(log, nil)))
-	text := fmt.Sprintf(config, 1024, "127.0.0.1:9")
-	before, _ := discovery(t)
-	after, calls := discovery(t)
+	text := fmt.Sprintf(configFormat, 1024, "127.0.0.1:9")
+	oldAddress, _ := startDiscovery(t)
+	newAddress, newCalls := startDiscovery(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := syscall.Mkfifo(path, 0o600); err != nil { // whoever opens it waits for the other side
+	if err := syscall.Mkfifo(path, 0o600); err != nil { // opening it blocks until the other side opens it too
 		t.Fatal(err)
 	}
 	write := func(address string, meanwhile func()) {
@@ -318,50 +327,52 @@
 		file.WriteString(strings.Replace(text, "127.0.0.1:1", address, 1))
 	}
 	t.Setenv("EDGE_CONFIG", path)
-	ended := make(chan error)
-	go func() { ended <- Main() }()
-	write(before, func() { syscall.Kill(os.Getpid(), syscall.SIGHUP) }) // it is reading now
-	log.until(t, "msg=started")
-	write(after, func() {}) // the next reading
-	log.until(t, "msg=reloaded")
-	<-calls
+	exited := make(chan error)
+	go func() { exited <- Main() }()
+	write(oldAddress, func() { syscall.Kill(os.Getpid(), syscall.SIGHUP) }) // the proxy is reading now
+	log.waitFor(t, "msg=started")
+	write(newAddress, func() {}) // the proxy reads it for the SIGHUP
+	log.waitFor(t, "msg=reloaded")
+	<-newCalls
 	syscall.Kill(os.Getpid(), syscall.SIGTERM)
-	if err := <-ended; err != nil {
+	if err := <-exited; err != nil {
 		t.Error(err)
 	}
 }
 
-func TestClientsComeOnlyOnceTheListIsHeard(t *testing.T) {
-	told := make(chan struct{})
+// The proxy accepts no client before discovery has answered for the first time or maxListenDelay has passed.
+func TestListensOnlyAfterDiscoveryAnswers(t *testing.T) {
+	release := make(chan struct{})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	service := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		<-told
+		<-release
 		io.WriteString(w, `{"generation":7,"reset":true,"instances":[]}`)
 	})}
 	go service.Serve(ln)
 	defer service.Close()
-	cfg, err := settings.ParseConfig([]byte(strings.Replace(fmt.Sprintf(config, 1024, "127.0.0.1:9"), "127.0.0.1:1", ln.Addr().String(), 1)))
+	cfg, err := settings.ParseConfig([]byte(strings.Replace(fmt.Sprintf(configFormat, 1024, "127.0.0.1:9"),
+		"127.0.0.1:1", ln.Addr().String(), 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := start(cfg)
+	p, err := newProxy(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if conn, err := net.Dial("tcp", p.server.Address()); err == nil {
 		conn.Close()
-		t.Error("a client could connect before the proxy had its list")
+		t.Error("a client could connect before discovery answered")
 	}
-	ended := make(chan struct{})
-	go func() { p.loop.Run(); close(ended) }()
-	close(told)
-	dialOnceListening(t, p.server.Address()).Close()
+	exited := make(chan struct{})
+	go func() { p.loop.Run(); close(exited) }()
+	close(release)
+	dialWithRetry(t, p.server.Address()).Close()
 	p.loop.Post(func() {
 		p.server.Drain()
 		p.loop.Stop()
 	})
-	<-ended
+	<-exited
 }
