--- a/internal/state/connections.go
+++ b/internal/state/connections.go
@@ -9,208 +9,221 @@
 	"havenproxy/logic"
 )
 
-// probeTimeout is how long a probe may take, a new connection included.
+// probeTimeout is how long a probe may take from its writing. Opening a connection for it is bounded by
+// ConnectTimeout.
 const probeTimeout = 250 * time.Millisecond
 
-// idlePart of the time after which a database closes an idle connection is how long one is kept here: a request
-// that crosses the close would end as a reset.
-const idlePart = 0.9
+// idleCloseFraction is the fraction of the databases' idle timeout after which this proxy closes an idle connection
+// itself. A request sent while the database closes the connection would end as a reset.
+const idleCloseFraction = 0.9
 
-// tellFull is how often it is logged that there is no room for another connection, at most.
-const tellFull = 10 * time.Second
+// limitLogInterval is the minimum time between two log lines that the connection limit is reached.
+const limitLogInterval = 10 * time.Second
 
-// Opener opens connections to databases. It returns at once; the listener's methods are called later.
+// Opener opens connections to databases.
 type Opener interface {
-	Open(address string, to Listener) Conn
-	// GivenUp counts connections that were closed in the making and hold their descriptor still.
+	// Open starts to connect and returns at once. It calls no method of the listener before it has returned.
+	Open(address string, listener Listener) Conn
+	// GivenUp returns the number of connections that were closed while being opened and still hold their file
+	// descriptor.
 	GivenUp() int
 }
 
-// Conn is a connection to a database. Close may be called at any time, also before it is up.
+// Conn is a connection to a database.
 type Conn interface {
-	// Send writes a command. An error tells that its last byte was not written.
+	// Send writes a command that the database has the given time to answer. An error means that the last byte was not
+	// written.
 	Send(Command, time.Duration) error
-	// Probe asks for the load report.
+	// Probe writes a query for the load report.
 	Probe() error
-	// Quiet tells whether the next command may go out: nothing has come that belongs to none.
+	// Quiet reports whether the next command may be sent: no data has been received that belongs to no command.
 	Quiet() bool
+	// Close closes the connection. It may be called at any time, also before the connection is established.
 	Close()
 }
 
-// Listener is told what happens on a connection.
+// Listener receives the events of a connection.
 type Listener interface {
-	Up()         // it may be sent the first command
+	Up()         // the connection is established and ready for its first command
 	Reply(Reply) // the answer to the last command
-	Down()       // it is lost, or never came up
-	Spoilt()     // what came is no answer; it is closed
+	Down()       // the connection was lost or could not be established
+	Spoilt()     // the data received is not a valid answer; the connection is closed
 }
 
-// Reply is what a database answered.
+// Reply is the answer of a database to a command or a probe.
 type Reply struct {
 	Result   logic.Result
-	Unfit    bool // an error that is the request's own fault
+	Unfit    bool // the request itself caused the error
 	Body     []byte
 	Role     logic.Role
-	Position int64 // Unix milliseconds; 0 = not told
+	Position int64 // Unix milliseconds; 0 = unknown
 	Load     Load
 }
 
-// Load is a load report; Told is false where there was none.
+// Load is a load report. Told is false if the answer contained none.
 type Load struct {
 	Told     bool
 	Role     logic.Role
-	Position float64 // Unix seconds; 0 = not told
-	Queue    float64 // negative = not told
+	Position float64 // Unix seconds; 0 = unknown
+	Queue    float64 // waiting requests; negative = unknown
 }
 
+// connectionState is the state of a connection to a database.
 type connectionState uint8
 
+// The states of a connection.
 const (
-	connectionOpening connectionState = iota
+	connectionOpening connectionState = iota // not established yet
 	connectionIdle
-	connectionBusy
+	connectionBusy // waiting for the answer to a command or a probe
 	connectionClosed
 )
 
-// connection is a connection to a database with what it is used for.
+// connection is a connection to a member, with the attempt or probe that uses it. Its Deadline limits, by state, the
+// time to connect, the time that a probe takes, and the time that it stays idle.
 type connection struct {
 	Deadline
-	f       *Front
-	m       *member
-	conn    Conn
-	state   connectionState
-	probing bool          // a probe is out on it, or waits for it to come up
-	kept    bool          // that probe is not the first command on it
-	asked   time.Duration // when the probe was written
-	attempt *attempt
-	lru     *list.Element // its place among the idle connections; nil = it is not idle
+	f           *Front
+	target      *member
+	conn        Conn
+	state       connectionState
+	probing     bool          // reserved for a probe that was sent or waits for the connection
+	reused      bool          // the probe is not the first command on this connection
+	probeSentAt time.Duration // when the probe was written
+	attempt     *attempt
+	idleElement *list.Element // its element in Front.idleConnections; nil = not idle
 }
 
-// place puts an attempt on a connection: an idle one, or a new one.
-func (f *Front) place(a *attempt) {
-	m := a.to
+// assignConnection sends an attempt on an idle connection or, if there is none, opens a connection that will send it.
+func (f *Front) assignConnection(a *attempt) {
+	m := a.target
 	if c := f.takeIdle(m); c != nil {
-		f.write(c, a)
+		f.writeAttempt(c, a)
 		return
 	}
-	c := f.open(m)
-	if c == nil { // this proxy's want, which tells nothing of the member
-		f.abort(a, Reply{Result: logic.Moot})
+	c := f.openConnection(m)
+	if c == nil { // the limit is this proxy's own and says nothing about the member
+		f.abortAttempt(a, Reply{Result: logic.Moot})
 		return
 	}
 	c.attempt, a.connection = a, c
 	m.opening = append(m.opening, c)
 }
 
-// takeIdle gives a member's idle connection that was used last, or nil.
+// takeIdle returns the most recently used idle connection of a member and marks it as no longer idle. It returns nil
+// if there is none.
 func (f *Front) takeIdle(m *member) *connection {
-	for n := len(m.idle); n > 0; n = len(m.idle) {
-		c := m.idle[n-1]
+	for n := len(m.idleConnections); n > 0; n = len(m.idleConnections) {
+		c := m.idleConnections[n-1]
 		if c.conn.Quiet() {
-			m.idle = m.idle[:n-1]
-			f.notIdle(c)
+			m.idleConnections = m.idleConnections[:n-1]
+			f.removeFromIdleOrder(c)
 			return c
 		}
-		f.close(c) // an answer's second copy, or its end: nothing has been written yet
+		f.closeConnection(c) // a duplicate of an answer, or the end of the stream; the new command has not been written
 	}
 	return nil
 }
 
-// notIdle takes a connection out of the order in which idle ones are closed.
-func (f *Front) notIdle(c *connection) {
+// removeFromIdleOrder removes a connection from Front.idleConnections and clears its idle timeout.
+func (f *Front) removeFromIdleOrder(c *connection) {
 	f.Deadlines.Clear(&c.Deadline)
-	if c.lru != nil {
-		f.idle.Remove(c.lru)
-		c.lru = nil
+	if c.idleElement != nil {
+		f.idleConnections.Remove(c.idleElement)
+		c.idleElement = nil
 	}
 }
 
-// open starts a connection, if need be in the place of one that is idle elsewhere.
-func (f *Front) open(m *member) *connection {
-	if f.connections+f.opener.GivenUp() >= f.cfg.MaxConnections && !f.makeRoom() {
+// openConnection starts to connect to a member. If the limit of connections is reached, it first closes the
+// connection that has been idle for longest, to any member; it returns nil if there is none.
+func (f *Front) openConnection(target *member) *connection {
+	if f.connections+f.opener.GivenUp() >= f.cfg.MaxConnections && !f.closeOldestIdle() {
 		f.Counters.NoRoom++
-		if now := f.clock.Now(); f.fullAt == 0 || now-f.fullAt >= tellFull {
-			f.fullAt = now
-			slog.Warn("no room for another database connection", "open", f.connections, "given_up", f.opener.GivenUp())
+		if now := f.clock.Now(); f.limitLoggedAt == 0 || now-f.limitLoggedAt >= limitLogInterval {
+			f.limitLoggedAt = now
+			slog.Warn("limit of database connections reached", "open", f.connections, "given_up", f.opener.GivenUp())
 		}
 		return nil
 	}
 	f.connections++
 	f.Counters.Opened++
-	c := &connection{f: f, m: m}
-	m.connections[c] = struct{}{}
-	c.conn = f.opener.Open(m.address, c)
+	c := &connection{f: f, target: target}
+	target.connections[c] = struct{}{}
+	c.conn = f.opener.Open(target.address, c)
 	f.Deadlines.Set(&c.Deadline, f.clock.Now()+f.cfg.ConnectTimeout, c.Down)
 	return c
 }
 
-// makeRoom closes the connection that has been idle for longest, whatever it was used for.
-func (f *Front) makeRoom() bool {
-	oldest := f.idle.Front()
+// closeOldestIdle closes the connection that has been idle for longest, to any member. It reports whether there was
+// one.
+func (f *Front) closeOldestIdle() bool {
+	oldest := f.idleConnections.Front()
 	if oldest == nil {
 		return false
 	}
-	f.close(oldest.Value.(*connection))
+	f.closeConnection(oldest.Value.(*connection))
 	return true
 }
 
-// write sends an attempt over a connection that is up.
-func (f *Front) write(c *connection, a *attempt) {
+// writeAttempt sends an attempt on an established connection. An attempt that is too late to be sent ends as moot,
+// and the connection is released.
+func (f *Front) writeAttempt(c *connection, a *attempt) {
 	f.Deadlines.Clear(&c.Deadline)
-	if a.by > 0 && f.clock.Now() > a.by {
+	if a.sendBy > 0 && f.clock.Now() > a.sendBy {
 		c.attempt, a.connection = nil, nil
-		f.rest(c)
-		f.end(a, Reply{Result: logic.Moot})
+		f.releaseConnection(c)
+		f.attemptEnded(a, Reply{Result: logic.Moot})
 		return
 	}
 	c.state, c.attempt, a.connection = connectionBusy, a, c
-	if err := c.conn.Send(a.req.cmd, a.until-f.clock.Now()); err != nil {
-		f.abort(a, Reply{Result: logic.ConnectFailed})
+	if err := c.conn.Send(a.req.command, a.timeoutAt-f.clock.Now()); err != nil {
+		f.abortAttempt(a, Reply{Result: logic.ConnectFailed})
 		return
 	}
-	a.sent = true
+	a.written = true
 }
 
-// close ends a connection and takes it out of all that it is in.
-func (f *Front) close(c *connection) {
+// closeConnection closes a connection and removes it from all lists that contain it.
+func (f *Front) closeConnection(c *connection) {
 	if c.state == connectionClosed {
 		return
 	}
 	c.state = connectionClosed
 	f.connections--
-	f.notIdle(c)
+	f.removeFromIdleOrder(c)
 	c.conn.Close()
-	m := c.m
-	delete(m.connections, c)
+	target := c.target
+	delete(target.connections, c)
 	same := func(x *connection) bool { return x == c }
-	m.idle, m.opening = slices.DeleteFunc(m.idle, same), slices.DeleteFunc(m.opening, same)
-	if m.probe == c {
-		m.probe = nil
+	target.idleConnections, target.opening =
+		slices.DeleteFunc(target.idleConnections, same), slices.DeleteFunc(target.opening, same)
+	if target.probe == c {
+		target.probe = nil
 	}
-	f.forgetGone(m)
+	f.removeIfGone(target)
 }
 
-// rest makes a connection that is up free for the next attempt. One that waits for a connection of its own to
-// come up takes it; the other is kept for the next.
-func (f *Front) rest(c *connection) {
-	m := c.m
+// releaseConnection makes an established connection available again. An attempt that waits for a connection to this
+// member to open takes it over, and the connection that the attempt waited for becomes idle once it is established.
+func (f *Front) releaseConnection(c *connection) {
+	target := c.target
 	c.state = connectionIdle
-	if m.state != logic.Ready || !c.conn.Quiet() {
-		f.close(c)
+	if target.state != logic.Ready || !c.conn.Quiet() {
+		f.closeConnection(c)
 		return
 	}
-	if i := slices.IndexFunc(m.opening, func(x *connection) bool { return x.attempt != nil }); i >= 0 {
-		a := m.opening[i].attempt
-		m.opening[i].attempt = nil
-		f.write(c, a)
+	if i := slices.IndexFunc(target.opening, func(x *connection) bool { return x.attempt != nil }); i >= 0 {
+		a := target.opening[i].attempt
+		target.opening[i].attempt = nil
+		f.writeAttempt(c, a)
 		return
 	}
-	m.idle = append(m.idle, c)
-	c.lru = f.idle.PushBack(c)
+	target.idleConnections = append(target.idleConnections, c)
+	c.idleElement = f.idleConnections.PushBack(c)
 	if f.cfg.IdleClose > 0 {
-		f.Deadlines.Set(&c.Deadline, f.clock.Now()+time.Duration(idlePart*float64(f.cfg.IdleClose)), func() {
+		f.Deadlines.Set(&c.Deadline, f.clock.Now()+time.Duration(idleCloseFraction*float64(f.cfg.IdleClose)), func() {
 			f.Counters.ClosedIdle++
-			f.close(c)
+			f.closeConnection(c)
 		})
 	}
 }
@@ -223,54 +236,54 @@
 	}
 	f.Deadlines.Clear(&c.Deadline)
 	if c.probing {
-		f.ask(c)
+		f.writeProbe(c)
 		return
 	}
-	c.m.opening = slices.DeleteFunc(c.m.opening, func(x *connection) bool { return x == c })
+	c.target.opening = slices.DeleteFunc(c.target.opening, func(x *connection) bool { return x == c })
 	if a := c.attempt; a != nil {
-		f.write(c, a)
+		f.writeAttempt(c, a)
 		return
 	}
-	f.rest(c)
+	f.releaseConnection(c)
 }
 
 // Reply implements Listener.
 func (c *connection) Reply(r Reply) {
 	f := c.f
 	switch c.state {
-	case connectionOpening: // it did not come up, and nothing was written
+	case connectionOpening: // the database rejected the connection; no command was written
 		if r.Result != logic.Full {
 			r.Result = logic.ConnectFailed
 		}
 		c.fail(r)
 		return
-	case connectionIdle, connectionClosed: // what nobody asked for makes the next answer doubtful
+	case connectionIdle, connectionClosed: // after unexpected data, the next answer could not be trusted
 		c.Down()
 		return
 	}
 	if c.probing {
-		took := f.clock.Now() - c.asked
-		c.probing, c.m.probe = false, nil
-		f.rest(c)
-		f.probed(c.m, r, took)
+		took := f.clock.Now() - c.probeSentAt
+		c.probing, c.target.probe = false, nil
+		f.releaseConnection(c)
+		f.finishProbe(c.target, r, took)
 		return
 	}
 	a := c.attempt
 	c.attempt, a.connection = nil, nil
-	f.rest(c)
-	f.end(a, r)
+	f.releaseConnection(c)
+	f.attemptEnded(a, r)
 }
 
-// Down implements Listener. Whether the last byte was written tells a request that never ran from one that may
-// have. A kept connection may have ended before its probe, which then tells nothing of the member: it is asked again on
-// a new one.
+// Down implements Listener. A connection that was lost while being opened proves that the request never ran; later,
+// the request may have run. The database may have closed a reused connection before a probe arrived on it, which says
+// nothing about the member: the probe is repeated on a new connection.
 func (c *connection) Down() {
 	if c.state == connectionClosed {
 		return
 	}
-	if c.probing && c.kept && c.state == connectionBusy && c.m.state == logic.Ready {
-		c.f.close(c)
-		c.f.openProbe(c.m)
+	if c.probing && c.reused && c.state == connectionBusy && c.target.state == logic.Ready {
+		c.f.closeConnection(c)
+		c.f.openProbe(c.target)
 		return
 	}
 	r := Reply{Result: logic.Reset}
@@ -280,7 +293,8 @@
 	c.fail(r)
 }
 
-// Spoilt implements Listener. The request may have run; a probe has told nothing, but its member lives.
+// Spoilt implements Listener. A request that was sent may have run. A probe yields no report, but shows that the
+// member is alive, so its result is Failed instead of Reset.
 func (c *connection) Spoilt() {
 	r := Reply{Result: logic.Reset}
 	switch {
@@ -294,30 +308,30 @@
 	c.fail(r)
 }
 
-// fail ends a connection and what is out on it.
+// fail closes a connection and ends the attempt or probe that uses it with the given result.
 func (c *connection) fail(r Reply) {
 	a := c.attempt
-	c.f.close(c)
+	c.f.closeConnection(c)
 	switch {
 	case a != nil:
-		c.f.end(a, r)
+		c.f.attemptEnded(a, r)
 	case c.probing:
-		c.f.probed(c.m, r, 0)
+		c.f.finishProbe(c.target, r, 0)
 	}
 }
 
-// Probe implements logic.Actions. A probe has its connection to itself while it is out, an idle one or a new one, and its
-// time counts from its writing: a ping is to measure the way, not a handshake or a request before it.
+// Probe implements logic.Actions. A probe has a connection to itself, an idle or a new one, and is timed from its
+// writing: it measures the round-trip time without the handshake or an earlier request.
 func (f *Front) Probe(to logic.MemberID) {
-	m := f.members[to]
+	m := f.membersByID[to]
 	if m == nil || m.probe != nil {
-		f.notProbed(to)
+		f.reportProbeNotSent(to)
 		return
 	}
 	f.Counters.Probes++
 	if c := f.takeIdle(m); c != nil {
-		c.probing, c.kept, m.probe = true, true, c
-		f.ask(c)
+		c.probing, c.reused, m.probe = true, true, c
+		f.writeProbe(c)
 		return
 	}
 	f.openProbe(m)
@@ -325,39 +339,42 @@
 
 // openProbe opens a connection whose first command is a probe.
 func (f *Front) openProbe(m *member) {
-	c := f.open(m)
+	c := f.openConnection(m)
 	if c == nil {
-		f.notProbed(m.id)
+		f.reportProbeNotSent(m.id)
 		return
 	}
-	c.probing, c.kept, m.probe = true, false, c
+	c.probing, c.reused, m.probe = true, false, c
 }
 
-// notProbed tells that no probe went out; that says nothing of the member.
-func (f *Front) notProbed(to logic.MemberID) {
-	f.tell(func() { f.router.Probed(f.clock.Now(), logic.Probed{Member: to, Result: logic.Moot}) })
+// reportProbeNotSent tells the router that no probe was sent, which says nothing about the member.
+func (f *Front) reportProbeNotSent(to logic.MemberID) {
+	f.notifyRouter(func() { f.router.Probed(f.clock.Now(), logic.Probed{Member: to, Result: logic.Moot}) })
 }
 
-func (f *Front) ask(c *connection) {
-	c.state, c.asked = connectionBusy, f.clock.Now()
-	f.Deadlines.Set(&c.Deadline, c.asked+probeTimeout, func() { c.fail(Reply{Result: logic.TimedOut}) })
+// writeProbe sends a probe on an established connection and sets its timeout.
+func (f *Front) writeProbe(c *connection) {
+	c.state, c.probeSentAt = connectionBusy, f.clock.Now()
+	f.Deadlines.Set(&c.Deadline, c.probeSentAt+probeTimeout, func() { c.fail(Reply{Result: logic.TimedOut}) })
 	if err := c.conn.Probe(); err != nil {
 		c.fail(Reply{Result: logic.ConnectFailed})
 	}
 }
 
-func (f *Front) probed(m *member, r Reply, took time.Duration) {
+// finishProbe counts and logs the result of a probe and tells it to the router.
+func (f *Front) finishProbe(m *member, r Reply, took time.Duration) {
 	if r.Result == logic.OK {
 		f.Counters.ProbesOK++
 	}
-	m.heard(r, true)
-	p := logic.Probed{Member: m.id, Result: r.Result, Took: took, Report: f.report(r)}
-	f.tell(func() { f.router.Probed(f.clock.Now(), p) })
+	m.recordReply(r, true)
+	p := logic.Probed{Member: m.id, Result: r.Result, Took: took, Report: f.loadReport(r)}
+	f.notifyRouter(func() { f.router.Probed(f.clock.Now(), p) })
 }
 
-func (f *Front) report(r Reply) logic.Report {
+// loadReport converts the load report of an answer to the router's terms.
+func (f *Front) loadReport(r Reply) logic.Report {
 	if !r.Load.Told {
 		return logic.Report{Queue: -1}
 	}
-	return logic.Report{Role: r.Load.Role, Position: positionOf(f.clock, r.Load.Position), Queue: r.Load.Queue}
+	return logic.Report{Role: r.Load.Role, Position: positionFromUnixSeconds(f.clock, r.Load.Position), Queue: r.Load.Queue}
 }
--- a/internal/state/counters.go
+++ b/internal/state/counters.go
@@ -7,24 +7,25 @@
 	"havenproxy/logic"
 )
 
-// Counters count since the start.
+// Counters holds the counters of the proxy since its start. Package net counts client connections and invalid answers in
+// it.
 type Counters struct {
-	Taken, Served, Refused, Failed, Abandoned      uint64 // requests
-	Late                                           uint64 // of those, answered or abandoned after their time
-	NoTime, NoPrimary, Crowded                     uint64 // the reasons of refusals
-	Sent                                           uint64 // attempts
-	OK, Miss, Error, Full, TimedOut, ConnectFailed uint64 // their ends
+	Taken, Served, Refused, Failed, Abandoned      uint64 // requests accepted, and how they ended
+	Late                                           uint64 // requests that ended more than lateTolerance after their deadline
+	NoTime, NoPrimary, Crowded                     uint64 // refusals by reason
+	Sent                                           uint64 // attempts started
+	OK, Miss, Error, Full, TimedOut, ConnectFailed uint64 // attempts by result
 	Reset, Cancelled                               uint64
 	Probes, ProbesOK                               uint64
 	Opened, ClosedIdle, NoRoom, Spoilt             uint64 // database connections
 	ListCalls, ListFailures                        uint64
 	Clients, MadeRoom, TurnedAway, Malformed       uint64 // client connections
 
-	LongestHold time.Duration // the longest that the loop was held up
+	LongestHold time.Duration // the longest time that the event loop was blocked
 }
 
-// end counts the end of an attempt.
-func (c *Counters) end(r logic.Result) {
+// attemptEnded counts an attempt by its result.
+func (c *Counters) attemptEnded(r logic.Result) {
 	switch r {
 	case logic.OK:
 		c.OK++
@@ -45,8 +46,8 @@
 	}
 }
 
-// refuse counts a refusal by its reason.
-func (c *Counters) refuse(why logic.Refusal) {
+// countRefusal counts a refusal by its reason.
+func (c *Counters) countRefusal(why logic.Refusal) {
 	switch why {
 	case logic.RefusedNoTime:
 		c.NoTime++
@@ -57,7 +58,7 @@
 	}
 }
 
-// LogValue lets slog print the counters.
+// LogValue implements slog.LogValuer.
 func (c *Counters) LogValue() slog.Value {
 	return slog.GroupValue(
 		slog.Uint64("taken", c.Taken), slog.Uint64("served", c.Served), slog.Uint64("refused", c.Refused),
--- a/internal/state/deadlines.go
+++ b/internal/state/deadlines.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// Deadlines is the one queue of all that is to happen at a time. It is looked at by its owner alone; nothing
-// runs beside it.
+// Deadlines is a queue of callbacks ordered by the time at which they are due. It starts no goroutines: its owner
+// calls Run, and all calls must come from one goroutine.
 type Deadlines struct {
 	heap deadlineHeap
 }
 
-// Deadline is one entry; whoever waits for it holds it, set or not, and it may be set again.
+// Deadline is one entry of the queue. It belongs to the caller, and can be set again at any time. The zero value is a
+// deadline that is not set.
 type Deadline struct {
-	at   time.Duration
-	then func()
-	slot int // its place in the queue + 1; 0 = not set
+	at       time.Duration
+	callback func()
+	slot     int // index in the heap plus 1; 0 = not set
 }
 
-// Set queues d, or moves it.
-func (q *Deadlines) Set(d *Deadline, at time.Duration, then func()) {
-	d.at, d.then = at, then
+// Set schedules callback for the time at. If d is already set, it is rescheduled.
+func (q *Deadlines) Set(d *Deadline, at time.Duration, callback func()) {
+	d.at, d.callback = at, callback
 	if d.slot > 0 {
 		heap.Fix(&q.heap, d.slot-1)
 		return
@@ -28,15 +29,15 @@
 	heap.Push(&q.heap, d)
 }
 
-// Clear takes d out of the queue, if it is in.
+// Clear removes d from the queue if it is set.
 func (q *Deadlines) Clear(d *Deadline) {
 	if d.slot > 0 {
 		heap.Remove(&q.heap, d.slot-1)
-		d.then = nil
+		d.callback = nil
 	}
 }
 
-// Next tells when the first entry is due.
+// Next returns the time at which the first entry is due, and whether there is one.
 func (q *Deadlines) Next() (time.Duration, bool) {
 	if len(q.heap) == 0 {
 		return 0, false
@@ -44,14 +45,15 @@
 	return q.heap[0].at, true
 }
 
-// Run carries out what is due, no more entries than were there before: one that sets itself anew can't hold up
-// its owner.
+// Run calls the callbacks that are due at the time now. It runs at most as many entries as were queued at the call,
+// so that a callback that always sets its own deadline again can't keep Run from returning.
 func (q *Deadlines) Run(now time.Duration) {
 	for n := len(q.heap); n > 0 && len(q.heap) > 0 && q.heap[0].at <= now; n-- {
-		heap.Pop(&q.heap).(*Deadline).then()
+		heap.Pop(&q.heap).(*Deadline).callback()
 	}
 }
 
+// deadlineHeap implements heap.Interface, ordered by time.
 type deadlineHeap []*Deadline
 
 func (h deadlineHeap) Len() int           { return len(h) }
--- /dev/null
+++ b/internal/state/dispatcher_test.go
@@ -0,0 +1,650 @@
+package state
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"havenproxy/logic"
+)
+
+// harness runs a Front with fakes for its router, clock, connections and watcher. It records the events that the
+// router receives.
+type harness struct {
+	t           *testing.T
+	dispatcher  *Front
+	now         time.Duration
+	conns       []*fakeConn
+	received    []string // router events since the last check
+	lastProbe   logic.Probed
+	lastOutcome logic.Outcome
+	lastList    logic.List
+	lastRequest logic.Request
+	onRequest   func() // called while the router handles a request
+	depth       int    // calls of the router that have not returned
+
+	givenUp int
+}
+
+func (h *harness) Now() time.Duration  { return h.now }
+func (h *harness) Unix() time.Duration { return h.now + 1767225600*time.Second }
+
+func (h *harness) record(format string, args ...any) {
+	if h.depth > 0 {
+		h.t.Errorf("the router was called from within its own call")
+	}
+	h.received = append(h.received, fmt.Sprintf(format, args...))
+}
+
+func (h *harness) Members(_ time.Duration, l logic.List) { h.lastList = l; h.record("members") }
+func (h *harness) Request(_ time.Duration, q logic.Request) {
+	h.record("request")
+	h.depth++
+	if h.lastRequest = q; h.onRequest != nil {
+		h.onRequest()
+	}
+	h.depth--
+}
+func (h *harness) Started(time.Duration, logic.RequestID, int) {}
+func (h *harness) Outcome(_ time.Duration, o logic.Outcome) {
+	h.lastOutcome = o
+	h.record("outcome %d finished=%v", o.Result, o.Finished)
+}
+func (h *harness) Probed(_ time.Duration, p logic.Probed) {
+	h.lastProbe = p
+	h.record("probed %d", p.Result)
+}
+func (h *harness) Timer(time.Duration, logic.TimerID)       { h.record("timer") }
+func (h *harness) Abandoned(time.Duration, logic.RequestID) { h.record("abandoned") }
+func (h *harness) Watch(bool)                               {}
+func (h *harness) Fetch()                                   {}
+func (h *harness) GivenUp() int                             { return h.givenUp }
+func (h *harness) Open(address string, listener Listener) Conn {
+	c := &fakeConn{address: address, listener: listener}
+	h.conns = append(h.conns, c)
+	return c
+}
+
+type fakeConn struct {
+	address        string
+	listener       Listener
+	sent           int
+	probes         int
+	closed         bool
+	unexpectedData bool // data was received that belongs to no command
+	err            error
+}
+
+func (c *fakeConn) Send(Command, time.Duration) error { c.sent++; return c.err }
+func (c *fakeConn) Probe() error                      { c.probes++; return c.err }
+func (c *fakeConn) Quiet() bool                       { return !c.unexpectedData }
+func (c *fakeConn) Close()                            { c.closed = true }
+
+type fakeCommand struct{}
+
+func (fakeCommand) AppendTo(dst []byte, _ time.Duration) []byte { return dst }
+
+type fakeResponder struct{ answers []string }
+
+func (c *fakeResponder) Served(body []byte) { c.answers = append(c.answers, "served "+string(body)) }
+func (c *fakeResponder) Refused(d time.Duration) {
+	c.answers = append(c.answers, "refused "+d.String())
+}
+func (c *fakeResponder) Failed() { c.answers = append(c.answers, "failed") }
+func (c *fakeResponder) want(t *testing.T, s ...string) {
+	t.Helper()
+	if fmt.Sprint(c.answers) != fmt.Sprint(s) {
+		t.Errorf("answers %q, want %q", c.answers, s)
+	}
+}
+
+func newHarness(t *testing.T, connections int) *harness {
+	h := &harness{t: t, now: clockBase}
+	class := func(name string, read logic.Freshness) logic.Class {
+		return logic.Class{Name: name, Read: read, MaxAge: time.Second, Aim: time.Second, Limit: 2 * time.Second}
+	}
+	dispatcher, err := New(Config{Logic: logic.Config{Tick: time.Millisecond,
+		Classes: []logic.Class{class("any", logic.Any), class("session", logic.Session)}},
+		Zones: []string{"x", "y"}, IdleClose: 10 * time.Second,
+		ConnectTimeout: 250 * time.Millisecond, MaxConnections: connections}, h, h)
+	if err != nil {
+		t.Fatal(err)
+	}
+	h.dispatcher, dispatcher.router = dispatcher, h
+	dispatcher.Start(h, List{Entries: []Entry{{Name: "one", Address: "a:1", Zone: "y", State: logic.Ready},
+		{Name: "two", Address: "a:2", Zone: "?", State: logic.Ready}}})
+	h.received = nil // drop the events of the start
+	return h
+}
+
+func (h *harness) id(name string) logic.MemberID { return h.dispatcher.membersByName[name].id }
+
+// submit accepts a request and sends its first attempt to member "one".
+func (h *harness) submit(c *fakeResponder) logic.RequestID {
+	id, err := h.dispatcher.Take(Request{Class: "any", Wait: time.Second, Command: fakeCommand{}, Caller: c})
+	if err != nil {
+		h.t.Fatal(err)
+	}
+	h.dispatcher.Send(id, h.id("one"), 500*time.Millisecond, 0)
+	return id
+}
+
+// want compares the events that the router received since the last call with the given ones.
+func (h *harness) want(events ...string) {
+	h.t.Helper()
+	if got := strings.Join(h.received, ", "); got != strings.Join(events, ", ") {
+		h.t.Errorf("router events: %s; want: %s", got, strings.Join(events, ", "))
+	}
+	h.received = nil
+}
+
+// advance moves the clock forward and runs the deadlines that are due.
+func (h *harness) advance(d time.Duration) {
+	h.now += d
+	h.dispatcher.Deadlines.Run(h.now)
+}
+
+// outcome returns the event that record notes for an outcome.
+func outcome(r logic.Result, finished bool) string {
+	return fmt.Sprintf("outcome %d finished=%v", r, finished)
+}
+
+func TestRequestIsAnsweredOnceAndConnectionIsReused(t *testing.T) {
+	h, c := newHarness(t, 9), &fakeResponder{}
+	id := h.submit(c)
+	h.conns[0].listener.Up()
+	h.conns[0].listener.Reply(Reply{Result: logic.OK, Body: []byte("v"), Role: logic.RoleReplica, Position: 1767225600000})
+	h.dispatcher.Refuse(id, time.Second, logic.RefusedCrowded) // ignored: the request was answered
+	h.dispatcher.Fail(id)
+	c.want(t, "served v")
+	h.want("request", outcome(logic.OK, true))
+	if h.lastOutcome.Position != 0 && h.lastOutcome.Position != h.now-(h.Unix()-1767225600*time.Second) {
+		t.Errorf("position %v", h.lastOutcome.Position)
+	}
+	h.submit(&fakeResponder{})
+	if len(h.conns) != 1 || h.conns[0].sent != 2 {
+		t.Errorf("%d connections, %d requests on the first", len(h.conns), h.conns[0].sent)
+	}
+	if h.dispatcher.Pending() != 1 {
+		t.Errorf("%d requests pending", h.dispatcher.Pending())
+	}
+}
+
+// The outcome must tell attempts that never ran from attempts that may have run: only after the last byte was written
+// may a request have run.
+func TestOutcomeOfConnectionFailures(t *testing.T) {
+	for name, c := range map[string]struct {
+		do   func(h *harness)
+		want logic.Result
+	}{
+		"connection refused":  {func(h *harness) { h.conns[0].listener.Down() }, logic.ConnectFailed},
+		"connect timeout":     {func(h *harness) { h.advance(250 * time.Millisecond) }, logic.ConnectFailed},
+		"rejected as full":    {func(h *harness) { h.conns[0].listener.Reply(Reply{Result: logic.Full}) }, logic.Full},
+		"rejected with error": {func(h *harness) { h.conns[0].listener.Reply(Reply{Result: logic.Failed}) }, logic.ConnectFailed},
+		"write failed": {func(h *harness) { h.conns[0].err = errors.New("broken"); h.conns[0].listener.Up() },
+			logic.ConnectFailed},
+		"lost after send":      {func(h *harness) { h.conns[0].listener.Up(); h.conns[0].listener.Down() }, logic.Reset},
+		"answer timeout":       {func(h *harness) { h.conns[0].listener.Up(); h.advance(500 * time.Millisecond) }, logic.TimedOut},
+		"cancelled after send": {func(h *harness) { h.conns[0].listener.Up(); h.dispatcher.Cancel(1, 0) }, logic.Cancelled},
+		"cancelled unsent":     {func(h *harness) { h.dispatcher.Cancel(1, 0) }, logic.Cancelled},
+	} {
+		t.Run(name, func(t *testing.T) {
+			h := newHarness(t, 9)
+			h.submit(&fakeResponder{})
+			c.do(h)
+			h.want("request", outcome(c.want, false))
+			if !h.conns[0].closed {
+				t.Error("the connection is still open: a late answer would be taken for the answer to the next request")
+			}
+			h.conns[0].listener.Up()
+			h.conns[0].listener.Reply(Reply{Result: logic.OK})
+			h.conns[0].listener.Down()
+			h.want()
+		})
+	}
+}
+
+// No command may be sent on a connection that received data belonging to no command. Invalid data instead of an
+// answer ends the attempt, which may have run. A member that sends invalid data instead of a probe's answer still
+// counts as alive.
+func TestConnectionWithUnexpectedDataIsNotReused(t *testing.T) {
+	h := newHarness(t, 9)
+	h.submit(&fakeResponder{})
+	h.conns[0].listener.Up()
+	h.conns[0].unexpectedData = true // a duplicate after the answer, which is valid
+	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	h.submit(&fakeResponder{})
+	h.conns[1].listener.Up()
+	h.conns[1].listener.Reply(Reply{Result: logic.OK})
+	h.conns[1].unexpectedData = true // data that arrives while the connection is idle
+	h.submit(&fakeResponder{})
+	if !h.conns[0].closed || !h.conns[1].closed || h.conns[0].sent+h.conns[1].sent != 2 {
+		t.Errorf("closed: %v, %v; sent: %d, %d", h.conns[0].closed, h.conns[1].closed, h.conns[0].sent, h.conns[1].sent)
+	}
+	h.conns[2].listener.Up()
+	h.received = nil
+	h.conns[2].listener.Spoilt()
+	h.dispatcher.Probe(h.id("two"))
+	h.conns[3].listener.Up()
+	h.conns[3].listener.Spoilt()
+	h.want(outcome(logic.Reset, false), fmt.Sprintf("probed %d", logic.Failed))
+}
+
+// Databases could not tell two open requests of one name apart, and one client would get the answer for the other.
+func TestDuplicateNameOfOpenRequestIsRejected(t *testing.T) {
+	h := newHarness(t, 9)
+	named := Request{Name: "n", Class: "any", Wait: time.Second, Command: fakeCommand{}, Caller: &fakeResponder{}}
+	id, err := h.dispatcher.Take(named)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err = h.dispatcher.Take(named); err != ErrTwice {
+		t.Errorf("duplicate name: error %v, want ErrTwice", err)
+	}
+	h.dispatcher.Fail(id)
+	if _, err = h.dispatcher.Take(named); err != nil || len(h.dispatcher.named) != 1 {
+		t.Errorf("%v, %d names", err, len(h.dispatcher.named))
+	}
+}
+
+// A request that every database would reject fails at once, and the router is not told of a member's failure.
+func TestUnfitRequestFailsWithoutBlamingMember(t *testing.T) {
+	h, c := newHarness(t, 9), &fakeResponder{}
+	h.submit(c)
+	h.conns[0].listener.Up()
+	h.conns[0].listener.Reply(Reply{Result: logic.Failed, Unfit: true})
+	c.want(t, "failed")
+	h.want("request", outcome(logic.Cancelled, true))
+}
+
+// Databases come and go under new names all day. Members that a change of the list reported as gone were never
+// removed from memory.
+func TestGoneMembersAreRemoved(t *testing.T) {
+	h := newHarness(t, 9)
+	id := h.submit(&fakeResponder{})
+	h.conns[0].listener.Up()
+	h.dispatcher.Listed(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:1", State: logic.Gone},
+		{Name: "two", Address: "a:2", State: logic.Gone}}})
+	if len(h.dispatcher.membersByID) != 1 || len(h.dispatcher.membersByName) != 1 {
+		t.Errorf("%d members, %d names; want one, which has an open attempt",
+			len(h.dispatcher.membersByID), len(h.dispatcher.membersByName))
+	}
+	h.dispatcher.Cancel(id, 0)
+	if len(h.dispatcher.membersByID) != 0 || len(h.dispatcher.membersByName) != 0 {
+		t.Errorf("%d members, %d names are left", len(h.dispatcher.membersByID), len(h.dispatcher.membersByName))
+	}
+}
+
+// A connection that is closed while being opened holds its descriptor until the dial ends, and counts against the
+// limit. Connections that fail by themselves hold none: when they stayed counted, no connection could be opened any
+// more.
+func TestAbandonedDialsCountAgainstLimit(t *testing.T) {
+	h := newHarness(t, 1)
+	for range 9 {
+		h.submit(&fakeResponder{})
+		h.conns[len(h.conns)-1].listener.Down()
+	}
+	if len(h.conns) != 9 || h.dispatcher.connections != 0 {
+		t.Errorf("%d connections opened, %d counted", len(h.conns), h.dispatcher.connections)
+	}
+	h.givenUp = 1
+	if h.submit(&fakeResponder{}); len(h.conns) != 9 {
+		t.Errorf("a connection was opened beyond the limit")
+	}
+}
+
+// The connection limit is this proxy's own. When reaching it was reported as a failure to connect, the router stopped
+// using healthy members, and they were logged as not answering.
+func TestConnectionLimitIsNotReportedAsMemberFailure(t *testing.T) {
+	h := newHarness(t, 1)
+	h.submit(&fakeResponder{})
+	h.conns[0].listener.Up() // busy, so it can't be closed to make room
+	h.received = nil
+	h.submit(&fakeResponder{})
+	h.dispatcher.Probe(h.id("two"))
+	h.want("request", outcome(logic.Moot, false), fmt.Sprintf("probed %d", logic.Moot))
+	if h.dispatcher.Counters.NoRoom != 2 || h.dispatcher.membersByName["two"].unresponsive {
+		t.Errorf("connection limit reached %d times; member unresponsive: %v",
+			h.dispatcher.Counters.NoRoom, h.dispatcher.membersByName["two"].unresponsive)
+	}
+}
+
+func TestOnlyOneOpenAttemptPerRequest(t *testing.T) {
+	h := newHarness(t, 9)
+	id := h.submit(&fakeResponder{})
+	h.dispatcher.Send(id, h.id("two"), time.Second, 0)
+	if h.want("request", outcome(logic.Moot, false)); len(h.conns) != 1 {
+		t.Errorf("%d connections", len(h.conns))
+	}
+}
+
+// An event that results directly from an action of the router must not be delivered before the router has returned.
+func TestRouterIsNotCalledReentrantly(t *testing.T) {
+	h, c := newHarness(t, 0), &fakeResponder{} // the limit allows no connection
+	h.onRequest = func() { h.dispatcher.Send(1, h.id("one"), time.Second, 0); h.dispatcher.Probe(h.id("one")) }
+	if _, err := h.dispatcher.Take(Request{Class: "any", Wait: time.Second, Command: fakeCommand{}, Caller: c}); err != nil {
+		t.Fatal(err)
+	}
+	h.want("request", outcome(logic.Moot, false), fmt.Sprintf("probed %d", logic.Moot))
+	h.dispatcher.Refuse(1, time.Millisecond, logic.RefusedCrowded)
+	c.want(t, "refused 1ms")
+}
+
+func TestAbandonedRequestGetsNoAnswer(t *testing.T) {
+	h, c := newHarness(t, 9), &fakeResponder{}
+	id := h.submit(c)
+	h.conns[0].listener.Up()
+	h.dispatcher.Abandon(id)
+	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	c.want(t)
+	if h.want("request", "abandoned", outcome(logic.OK, true)); h.dispatcher.Pending() != 0 {
+		t.Errorf("%d requests pending", h.dispatcher.Pending())
+	}
+}
+
+// A connection may be established long after it was requested. An attempt that waits for it must not be sent after its
+// client has left, whether or not the deployment allows cancelling attempts, nor after its member is no longer ready.
+func TestUnsentAttemptIsCancelled(t *testing.T) {
+	for name, interrupt := range map[string]func(h *harness, id logic.RequestID){
+		"abandoned": func(h *harness, id logic.RequestID) { h.dispatcher.Abandon(id) },
+		"draining": func(h *harness, _ logic.RequestID) {
+			h.dispatcher.Listed(List{Entries: []Entry{{Name: "one", Address: "a:1", State: logic.Draining}}})
+		},
+		"gone": func(h *harness, _ logic.RequestID) {
+			h.dispatcher.Listed(List{Entries: []Entry{{Name: "one", Address: "a:1", State: logic.Gone}}})
+		},
+	} {
+		h := newHarness(t, 9)
+		interrupt(h, h.submit(&fakeResponder{}))
+		if received := h.received[len(h.received)-1]; !strings.HasPrefix(received, fmt.Sprintf("outcome %d", logic.Moot)) {
+			t.Errorf("%s: last router event: %s; want a moot outcome after the event that caused it", name, received)
+		}
+		if h.lastOutcome.Result != logic.Moot {
+			t.Errorf("%s: the attempt ended with result %d, want moot", name, h.lastOutcome.Result)
+		}
+		h.conns[0].listener.Up()
+		if h.conns[0].sent != 0 || !h.conns[0].closed {
+			t.Errorf("%s: sent %d times, connection closed: %v", name, h.conns[0].sent, h.conns[0].closed)
+		}
+	}
+	h := newHarness(t, 9)
+	id := h.submit(&fakeResponder{})
+	h.conns[0].listener.Up()
+	h.dispatcher.Listed(List{Entries: []Entry{{Name: "one", Address: "a:1", State: logic.Draining}}})
+	h.dispatcher.Abandon(id)
+	if h.conns[0].closed {
+		t.Error("the connection of an attempt that was sent is closed")
+	}
+}
+
+// The data age of a bounded read counts from its sending. If a connection is established only after the member's known
+// position has become too old, the read goes back to the router unsent and the connection is kept for other requests.
+func TestAttemptIsNotSentAfterSendBy(t *testing.T) {
+	for late, sent := range map[time.Duration]int{0: 1, time.Millisecond: 0} {
+		h := newHarness(t, 9)
+		id, _ := h.dispatcher.Take(Request{Class: "any", Wait: time.Second, Command: fakeCommand{}, Caller: &fakeResponder{}})
+		h.dispatcher.Send(id, h.id("one"), 500*time.Millisecond, h.now+100*time.Millisecond)
+		h.received = nil
+		h.advance(100*time.Millisecond + late)
+		h.conns[0].listener.Up()
+		if h.conns[0].sent != sent || h.conns[0].closed {
+			t.Errorf("%v after sendBy: sent %d times, connection closed: %v", late, h.conns[0].sent, h.conns[0].closed)
+		}
+		if sent == 0 {
+			h.want(outcome(logic.Moot, false))
+		}
+		h.dispatcher.Send(id, h.id("one"), 500*time.Millisecond, 0)
+		if sent == 0 && (h.conns[0].sent != 1 || len(h.conns) != 1) {
+			t.Errorf("the connection was not kept: %d sent on it, %d opened", h.conns[0].sent, len(h.conns))
+		}
+	}
+}
+
+// Databases close idle connections, and a request that is sent at that moment is lost.
+func TestIdleConnectionsAreClosedBeforeDatabaseClosesThem(t *testing.T) {
+	h := newHarness(t, 9)
+	h.submit(&fakeResponder{})
+	h.conns[0].listener.Up()
+	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	if h.advance(8 * time.Second); h.conns[0].closed {
+		t.Error("closed early")
+	}
+	if h.advance(time.Second); !h.conns[0].closed {
+		t.Error("not closed before the database closes it")
+	}
+	h.submit(&fakeResponder{})
+	h.conns[1].listener.Up()
+	h.conns[1].listener.Reply(Reply{Result: logic.OK})
+	h.conns[1].listener.Down()
+	if h.submit(&fakeResponder{}); len(h.conns) != 3 {
+		t.Error("a closed connection was used again")
+	}
+}
+
+func TestReleasedConnectionServesWaitingAttempt(t *testing.T) {
+	h := newHarness(t, 9)
+	h.submit(&fakeResponder{})
+	h.conns[0].listener.Up()
+	h.submit(&fakeResponder{})
+	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	if h.conns[0].sent != 2 || h.conns[1].sent != 0 {
+		t.Errorf("%d and %d requests sent", h.conns[0].sent, h.conns[1].sent)
+	}
+	h.conns[1].listener.Up() // becomes idle
+	if h.submit(&fakeResponder{}); len(h.conns) != 2 || h.conns[1].sent != 1 {
+		t.Errorf("%d connections, %d requests on the second", len(h.conns), h.conns[1].sent)
+	}
+}
+
+func TestIdleConnectionIsClosedAtConnectionLimit(t *testing.T) {
+	h := newHarness(t, 1)
+	h.submit(&fakeResponder{})
+	h.conns[0].listener.Up()
+	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	h.dispatcher.Probe(h.id("two"))
+	if !h.conns[0].closed || len(h.conns) != 2 {
+		t.Errorf("%d connections, the idle one closed: %v", len(h.conns), h.conns[0].closed)
+	}
+}
+
+// The measured round-trip time must not include the opening of the connection.
+func TestProbeMeasuresRoundTripOnly(t *testing.T) {
+	h := newHarness(t, 9)
+	h.dispatcher.Probe(h.id("one"))
+	h.advance(100 * time.Millisecond)
+	h.conns[0].listener.Up()
+	h.advance(2 * time.Millisecond)
+	h.conns[0].listener.Reply(Reply{Result: logic.OK,
+		Load: Load{Told: true, Role: logic.RolePrimary, Position: 1767312000.05, Queue: -1}})
+	if p := h.lastProbe; p.Took != 2*time.Millisecond || p.Report.Role != logic.RolePrimary || len(h.conns) != 1 {
+		t.Errorf("%+v", p)
+	}
+	want := clockBase + 50*time.Millisecond
+	if p := h.lastProbe.Report.Position; p > want || p < want-2*time.Microsecond {
+		t.Errorf("position %v, want %v or at most 2µs less", p, want)
+	}
+	h.dispatcher.Probe(h.id("one"))
+	if h.conns[0].probes != 2 {
+		t.Error("the second probe did not use the connection of the first")
+	}
+	h.advance(probeTimeout)
+	if h.lastProbe.Result != logic.TimedOut || !h.conns[0].closed {
+		t.Errorf("%+v, closed %v", h.lastProbe, h.conns[0].closed)
+	}
+}
+
+// A database may close an idle connection while a probe is being sent on it. Healthy members then counted as
+// unresponsive. The probe must be repeated on a new connection, where a lost connection counts.
+func TestProbeIsRepeatedAfterReusedConnectionIsLost(t *testing.T) {
+	h := newHarness(t, 9)
+	h.dispatcher.Probe(h.id("one"))
+	h.conns[0].listener.Up()
+	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	h.received = nil
+	h.dispatcher.Probe(h.id("one"))
+	h.conns[0].listener.Down()
+	if h.want(); len(h.conns) != 2 || !h.conns[0].closed || h.dispatcher.membersByName["one"].unresponsive {
+		t.Fatalf("%d connections, the first closed: %v, member unresponsive: %v", len(h.conns), h.conns[0].closed,
+			h.dispatcher.membersByName["one"].unresponsive)
+	}
+	h.conns[1].listener.Up()
+	if h.conns[1].probes != 1 {
+		t.Errorf("%d probes on the new connection", h.conns[1].probes)
+	}
+	h.conns[1].listener.Down()
+	h.want(fmt.Sprintf("probed %d", logic.Reset))
+}
+
+// A member that is listed again keeps its id, because the router may still hold state for that id.
+func TestReturningMemberKeepsItsID(t *testing.T) {
+	h := newHarness(t, 9)
+	before := h.id("two")
+	h.dispatcher.Listed(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "two", Address: "a:2", State: logic.Gone}}})
+	if h.dispatcher.membersByName["two"] != nil {
+		t.Error("a member that is gone was not removed")
+	}
+	h.dispatcher.Listed(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "two", Address: "a:2", State: logic.Ready}}})
+	if after := h.id("two"); after != before {
+		t.Errorf("id %v, was %v", after, before)
+	}
+}
+
+func TestListWithAddressChangesAndRemovalsIsPassedToRouter(t *testing.T) {
+	h := newHarness(t, 9)
+	if e := h.lastList.Entries; h.lastList.Kind != logic.ListCached || len(e) != 2 || e[0].Zone != 1 ||
+		e[1].Zone != -1 || e[0].Born != 0 {
+		t.Fatalf("%+v", h.lastList)
+	}
+	h.submit(&fakeResponder{})
+	h.conns[0].listener.Up()
+	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	h.dispatcher.Listed(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:9", State: logic.Ready,
+		Started: h.Unix() - time.Second}}})
+	if e := h.lastList.Entries; len(e) != 1 || e[0].ID != h.id("one") || e[0].Born != h.now-time.Second {
+		t.Errorf("%+v", h.lastList)
+	}
+	if !h.conns[0].closed {
+		t.Error("an idle connection to the old address was not closed")
+	}
+	if h.submit(&fakeResponder{}); h.conns[len(h.conns)-1].address != "a:9" {
+		t.Error("a connection was opened to the old address")
+	}
+	h.dispatcher.Listed(List{Kind: logic.ListFull, Entries: []Entry{{Name: "one", Address: "a:9", State: logic.Draining}}})
+	if h.dispatcher.membersByName["two"] != nil || h.lastList.Kind != logic.ListFull {
+		t.Error("a member that a whole list leaves out was not removed")
+	}
+}
+
+// A token age of 0 means that there was no commit. A commit time that was rounded up to the next millisecond may lie
+// in the future and must not yield 0.
+func TestTokenAge(t *testing.T) {
+	h := newHarness(t, 9)
+	for after, want := range map[time.Duration]time.Duration{0: 0, -time.Second: time.Second, time.Millisecond: 1} {
+		in := Request{Class: "session", Wait: time.Second, Session: 7, Command: fakeCommand{}, Caller: &fakeResponder{}}
+		if after != 0 {
+			in.After = int64((h.Unix() + after) / time.Millisecond)
+		}
+		if h.dispatcher.Take(in); h.lastRequest.TokenAge != want || h.lastRequest.Session != 7 {
+			t.Errorf("commit at now%+v: age %v, want %v", after, h.lastRequest.TokenAge, want)
+		}
+	}
+	h.dispatcher.Take(Request{Class: "any", Wait: time.Second, Session: 7, After: 1, Command: fakeCommand{},
+		Caller: &fakeResponder{}})
+	if h.lastRequest.Session != 0 || h.lastRequest.TokenAge != 0 || h.lastRequest.Deadline >= h.now+time.Second {
+		t.Errorf("%+v: session or token passed on for a class without sessions, or wrong deadline", h.lastRequest)
+	}
+	if _, err := h.dispatcher.Take(Request{Class: "unheard"}); err == nil || h.dispatcher.Pending() != 4 {
+		t.Error("a request of an unknown class was accepted")
+	}
+}
+
+// A proxy that shuts down must answer new requests before it ends, also for clients that would wait longer.
+func TestDeadlinesOfNewRequestsEndAtShutdown(t *testing.T) {
+	h := newHarness(t, 9)
+	h.dispatcher.End(h.now + 100*time.Millisecond)
+	for wait, want := range map[time.Duration]time.Duration{50 * time.Millisecond: 45 * time.Millisecond,
+		time.Second: 100 * time.Millisecond} {
+		h.dispatcher.Take(Request{Class: "any", Wait: wait, Command: fakeCommand{}, Caller: &fakeResponder{}})
+		if got := h.lastRequest.Deadline - h.now; got != want {
+			t.Errorf("request of a client that waits %v: deadline in %v, want %v", wait, got, want)
+		}
+	}
+}
+
+// A request that was accepted before the signal to shut down may have a deadline after the proxy's end. Its client's
+// connection was closed without an answer. Its attempts must end at the shutdown, and none may start after it.
+func TestOpenAttemptsEndAtShutdown(t *testing.T) {
+	h := newHarness(t, 9)
+	c := &fakeResponder{}
+	id := h.submit(c)
+	h.conns[0].listener.Up()
+	h.dispatcher.End(h.now + 100*time.Millisecond)
+	h.received = nil
+	h.advance(99 * time.Millisecond)
+	h.want()
+	h.advance(time.Millisecond)
+	h.want(outcome(logic.TimedOut, false))
+	h.dispatcher.Send(id, h.id("two"), time.Second, 0)
+	h.want(outcome(logic.Moot, false))
+	h.dispatcher.Fail(id)
+	c.want(t, "failed")
+	if len(h.conns) != 1 || h.dispatcher.Pending() != 0 {
+		t.Errorf("%d connections were opened, %d requests are pending", len(h.conns), h.dispatcher.Pending())
+	}
+}
+
+func TestDeadlinesRunInOrderAndMove(t *testing.T) {
+	var q Deadlines
+	var ran []int
+	d := make([]Deadline, 5)
+	for i := range d {
+		q.Set(&d[i], time.Duration(10-i), func() { ran = append(ran, i) })
+	}
+	q.Set(&d[0], 1, func() { ran = append(ran, 0); q.Set(&d[0], 1, func() { ran = append(ran, 9) }) })
+	q.Clear(&d[3])
+	q.Run(8)
+	if at, ok := q.Next(); fmt.Sprint(ran) != "[0 9 4 2]" || !ok || at != 9 {
+		t.Errorf("ran %v, next %v", ran, at)
+	}
+}
+
+func TestRequestLogIsBounded(t *testing.T) {
+	var log requestLog
+	for range 3 * maxRequestLinesPerSecond {
+		log.allow(time.Second)
+	}
+	if log.lines != maxRequestLinesPerSecond || log.suppressed != 2*maxRequestLinesPerSecond {
+		t.Errorf("%d lines in a second, %d suppressed", log.lines, log.suppressed)
+	}
+	if !log.allow(2 * time.Second) {
+		t.Error("no line in the next second")
+	}
+}
+
+// probeOnNewConnection probes a member that has no connection yet, and answers the probe.
+func (h *harness) probeOnNewConnection(name string) {
+	h.dispatcher.Probe(h.id(name))
+	c := h.conns[len(h.conns)-1]
+	c.listener.Up()
+	c.listener.Reply(Reply{Result: logic.OK})
+}
+
+func TestIdleProbeConnectionIsClosedForRequest(t *testing.T) {
+	h := newHarness(t, 1)
+	h.probeOnNewConnection("two")
+	h.submit(&fakeResponder{})
+	if h.dispatcher.Counters.NoRoom != 0 || len(h.conns) != 2 || !h.conns[0].closed {
+		t.Errorf("connection limit reached %d times, %d connections opened", h.dispatcher.Counters.NoRoom, len(h.conns))
+	}
+}
+
+func TestRequestReusesProbeConnection(t *testing.T) {
+	h := newHarness(t, 9)
+	h.probeOnNewConnection("one")
+	h.submit(&fakeResponder{})
+	if len(h.conns) != 1 || h.conns[0].sent != 1 {
+		t.Errorf("%d connections opened, %d requests on the first", len(h.conns), h.conns[0].sent)
+	}
+}
--- a/internal/state/members.go
+++ b/internal/state/members.go
@@ -10,62 +10,63 @@
 	"havenproxy/logic"
 )
 
-// List is news of the databases, whatever catalogue it comes from.
+// List is a member list, or a change of it, from the discovery service.
 type List struct {
 	Kind    logic.ListKind
 	Entries []Entry
 }
 
-// Entry is one database.
+// Entry describes one database of a List.
 type Entry struct {
-	Name    string // the same at every proxy
+	Name    string // the same for every proxy
 	Address string
 	Zone    string
 	Group   int
 	State   logic.MemberState
 	Size    float64
-	Started time.Duration // Unix time; 0 = long ago
+	Started time.Duration // Unix time of the process start; 0 = long ago
 }
 
-// member is one database with the connections to it.
+// member is a database with the connections to it.
 type member struct {
 	id      logic.MemberID
 	name    string
 	address string
 	state   logic.MemberState
-	seen    bool // in the whole list in hand
+	listed  bool // contained in the last whole list or in a later change
 
-	role   logic.Role // as it last told
-	silent bool       // its last probe had no answer
+	role         logic.Role // as last reported by the database
+	unresponsive bool       // its last probe got no answer
 
-	idle        []*connection // the one used last at the end
-	opening     []*connection // those that a request was to go out on
-	connections map[*connection]struct{}
-	probe       *connection // the one that a probe is out on, or waits for
+	idleConnections []*connection // ordered by last use, most recent last
+	opening         []*connection // connections that were opened for an attempt and are not established
+	connections     map[*connection]struct{}
+	probe           *connection // the connection that a probe uses or waits for; nil = none
 }
 
-// changeLines is how many changed databases of one list have a line of their own in the log.
-const changeLines = 20
+// maxChangeLines is the maximum number of log lines about single databases that one list causes.
+const maxChangeLines = 20
 
-// listChanges is what a list changed.
+// listChanges describes what a list changed.
 type listChanges struct {
 	joined, changed int
-	left            []*member // those that take nothing new any more
+	notReady        []*member // members that are no longer ready
 }
 
-// log writes one line for a list that changed something.
+// log logs a list that changed something, and how long it took to apply.
 func (c *listChanges) log(l List, took time.Duration) {
 	if c.joined+c.changed == 0 {
 		return
 	}
-	slog.Info("list applied", "kind", listKinds[l.Kind], "entries", len(l.Entries), "joined", c.joined,
+	slog.Info("list applied", "kind", listKindNames[l.Kind], "entries", len(l.Entries), "joined", c.joined,
 		"changed", c.changed, "took", took)
 }
 
-var listKinds = [...]string{logic.ListDelta: "changes", logic.ListFull: "whole", logic.ListCached: "cached",
+// listKindNames holds the names of list kinds in the log, indexed by logic.ListKind.
+var listKindNames = [...]string{logic.ListDelta: "changes", logic.ListFull: "whole", logic.ListCached: "cached",
 	logic.ListFailed: "failed"}
 
-// Listed takes in news of the list.
+// Listed applies a list from the discovery service and passes it to the router.
 func (f *Front) Listed(l List) {
 	begin := f.clock.Now()
 	f.changes = listChanges{}
@@ -73,149 +74,154 @@
 	out := logic.List{Kind: l.Kind}
 	whole := l.Kind != logic.ListDelta
 	if whole {
-		for _, m := range f.names {
-			m.seen = false
+		for _, m := range f.membersByName {
+			m.listed = false
 		}
 	}
 	for _, e := range l.Entries {
 		m := f.member(e)
-		m.seen = true
-		out.Entries = append(out.Entries, logic.Member{ID: m.id, Zone: f.zone(e.Zone), Group: logic.GroupID(e.Group),
-			State: e.State, Size: e.Size, Born: place(f.clock, e.Started)})
+		m.listed = true
+		out.Entries = append(out.Entries, logic.Member{ID: m.id, Zone: f.zoneIndex(e.Zone), Group: logic.GroupID(e.Group),
+			State: e.State, Size: e.Size, Born: fromUnix(f.clock, e.Started)})
 	}
 	if whole {
-		for _, m := range f.names {
-			if !m.seen {
-				f.leave(m, logic.Gone)
+		for _, m := range f.membersByName {
+			if !m.listed {
+				f.setState(m, logic.Gone)
 			}
 		}
 	}
-	if f.listFailing && l.Kind != logic.ListCached {
-		f.listFailing = false
-		slog.Info("discovery answers again")
+	if f.discoveryFailing && l.Kind != logic.ListCached {
+		f.discoveryFailing = false
+		slog.Info("discovery calls succeed again")
 	}
-	f.tell(func() { f.router.Members(f.clock.Now(), out) })
-	f.cancelUnsentAtMembers(f.changes.left)
+	f.notifyRouter(func() { f.router.Members(f.clock.Now(), out) })
+	f.cancelUnsentAttempts(f.changes.notReady)
 }
 
-// ListFailed tells that a call failed or that a watch broke; the list in hand still holds.
+// ListFailed reports that a call to the discovery service failed or that a watch broke. The current list stays valid.
 func (f *Front) ListFailed(why error) {
 	f.Counters.ListFailures++
-	if !f.listFailing {
-		f.listFailing = true
-		slog.Warn("discovery fails", "error", why)
+	if !f.discoveryFailing {
+		f.discoveryFailing = true
+		slog.Warn("discovery call failed", "error", why)
 	}
-	f.tell(func() { f.router.Members(f.clock.Now(), logic.List{Kind: logic.ListFailed}) })
+	f.notifyRouter(func() { f.router.Members(f.clock.Now(), logic.List{Kind: logic.ListFailed}) })
 }
 
-// member finds the member of an entry, or makes it, and brings it up to date.
+// member returns the member of an entry, creating it if needed, after updating its address and state.
 func (f *Front) member(e Entry) *member {
-	m := f.names[e.Name]
+	m := f.membersByName[e.Name]
 	if m == nil {
-		m = &member{id: f.memberID(e.Name), name: e.Name, state: e.State, connections: map[*connection]struct{}{}}
-		f.names[e.Name], f.members[m.id] = m, m
+		m = &member{id: f.newMemberID(e.Name), name: e.Name, state: e.State, connections: map[*connection]struct{}{}}
+		f.membersByName[e.Name], f.membersByID[m.id] = m, m
 		f.changes.joined++
 	}
 	if m.address != e.Address && e.Address != "" {
 		m.address = e.Address
-		f.closeIdle(m) // they lead to where it was
+		f.closeIdleConnections(m) // they lead to the old address
 	}
-	f.leave(m, e.State)
+	f.setState(m, e.State)
 	return m
 }
 
-// memberID makes an id of a name, so that who comes back after it was forgotten is known by the same one.
-func (f *Front) memberID(name string) logic.MemberID {
+// newMemberID derives an id from a name, so that a member that was removed gets the same id when it is listed again.
+func (f *Front) newMemberID(name string) logic.MemberID {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	id := logic.MemberID(h.Sum64())
-	for f.members[id] != nil {
+	for f.membersByID[id] != nil {
 		id++
 	}
 	return id
 }
 
-// leave notes a change of a member's state. One that wants nothing new needs no idle connections.
-func (f *Front) leave(m *member, to logic.MemberState) {
+// setState sets the state of a member and logs a change. It closes the idle connections of a member that is not
+// ready.
+func (f *Front) setState(m *member, to logic.MemberState) {
 	if m.state != to {
-		if f.changes.changed++; f.changes.changed <= changeLines {
-			slog.Info("database changed", "name", m.name, "address", m.address, "from", stateName(m.state), "to", stateName(to))
+		if f.changes.changed++; f.changes.changed <= maxChangeLines {
+			slog.Info("database state changed", "name", m.name, "address", m.address, "from", stateName(m.state), "to", stateName(to))
 		}
 	}
 	if to != logic.Ready {
 		if m.state != to {
-			f.changes.left = append(f.changes.left, m)
+			f.changes.notReady = append(f.changes.notReady, m)
 		}
-		f.closeIdle(m)
+		f.closeIdleConnections(m)
 	}
 	m.state = to
-	f.forgetGone(m)
+	f.removeIfGone(m)
 }
 
-// cancelUnsentAtMembers ends the attempts that wait for a connection to members that take nothing new any more: coming
-// up later, it would carry them there after the time that a drain grants. The router knows the news by then and sends
-// them elsewhere.
-func (f *Front) cancelUnsentAtMembers(left []*member) {
-	slices.SortFunc(left, func(a, b *member) int { return strings.Compare(a.name, b.name) })
-	for _, m := range left {
+// cancelUnsentAttempts ends the attempts that wait for a connection to members that are no longer ready: a connection
+// that is established later would carry them to a draining member after its grace period. It must be called after the
+// router has received the list, so that the router sends the requests to other members.
+func (f *Front) cancelUnsentAttempts(members []*member) {
+	slices.SortFunc(members, func(a, b *member) int { return strings.Compare(a.name, b.name) })
+	for _, m := range members {
 		if m.state == logic.Ready || m.state == logic.Gone && f.cfg.Logic.DrainOnly {
 			continue
 		}
-		for _, l := range slices.Clone(m.opening) {
-			if l.attempt != nil {
-				f.cancelUnsent(l.attempt)
+		for _, c := range slices.Clone(m.opening) {
+			if c.attempt != nil {
+				f.cancelUnsentAttempt(c.attempt)
 			}
 		}
 	}
 }
 
-// forgetGone drops a member that is gone, once no connection to it is left: databases come and go under new names
-// all day. Where the list binds no one, only a whole list that leaves it out tells that it won't be sent to again.
-func (f *Front) forgetGone(m *member) {
-	if m.state == logic.Gone && (!m.seen || !f.cfg.Logic.DrainOnly) && len(m.connections) == 0 &&
-		f.names[m.name] == m {
-		delete(f.names, m.name)
-		delete(f.members, m.id)
+// removeIfGone removes a member that is gone and has no connections: databases come and go under new names all day,
+// and would fill the memory. If the deployment sets DrainOnly, "gone" doesn't bind the router, which may still send
+// to the member until a whole list leaves it out.
+func (f *Front) removeIfGone(m *member) {
+	if m.state == logic.Gone && (!m.listed || !f.cfg.Logic.DrainOnly) && len(m.connections) == 0 &&
+		f.membersByName[m.name] == m {
+		delete(f.membersByName, m.name)
+		delete(f.membersByID, m.id)
 	}
 }
 
-// heard logs what changes in what a member tells of itself. The router draws its own conclusions.
-func (m *member) heard(r Reply, probe bool) {
+// recordReply logs changes of the role that a member reports and of whether it answers probes. The router draws
+// its own conclusions from the replies.
+func (m *member) recordReply(r Reply, probe bool) {
 	role := r.Role
 	if role == logic.RoleUnknown {
 		role = r.Load.Role
 	}
 	if role != logic.RoleUnknown && role != m.role {
 		if m.role != logic.RoleUnknown {
-			slog.Info("database role", "name", m.name, "address", m.address, "from", roleNames[m.role], "to", roleNames[role])
+			slog.Info("database role changed", "name", m.name, "address", m.address, "from", roleNames[m.role], "to", roleNames[role])
 		}
 		m.role = role
 	}
 	if !probe {
 		return
 	}
-	switch silent := r.Result == logic.TimedOut || r.Result == logic.ConnectFailed || r.Result == logic.Reset; {
-	case silent && !m.silent:
-		slog.Warn("database silent", "name", m.name, "address", m.address, "probe", silences[r.Result])
-		m.silent = true
-	case !silent && m.silent:
-		slog.Info("database answers again", "name", m.name, "address", m.address)
-		m.silent = false
+	switch unresponsive := r.Result == logic.TimedOut || r.Result == logic.ConnectFailed || r.Result == logic.Reset; {
+	case unresponsive && !m.unresponsive:
+		slog.Warn("database did not answer a probe", "name", m.name, "address", m.address, "probe", probeFailureNames[r.Result])
+		m.unresponsive = true
+	case !unresponsive && m.unresponsive:
+		slog.Info("database answers probes again", "name", m.name, "address", m.address)
+		m.unresponsive = false
 	}
 }
 
-// silences names what a probe that got no answer ended with.
-var silences = map[logic.Result]string{logic.TimedOut: "timed out", logic.ConnectFailed: "could not connect",
+// probeFailureNames holds the names in the log of the results of a probe that got no answer.
+var probeFailureNames = map[logic.Result]string{logic.TimedOut: "timed out", logic.ConnectFailed: "could not connect",
 	logic.Reset: "connection lost"}
 
+// roleNames holds the names of roles in the log, indexed by logic.Role.
 var roleNames = [...]string{logic.RoleUnknown: "unknown", logic.RolePrimary: "primary", logic.RoleReplica: "replica"}
 
+// stateName returns the name of a state in the log.
 func stateName(s logic.MemberState) string {
 	return [...]string{logic.Gone: "gone", logic.Ready: "ready", logic.Draining: "draining"}[s]
 }
 
-// zone gives the number of a zone; an unknown one is nobody's own.
-func (f *Front) zone(name string) int {
+// zoneIndex returns the number of a zone, or -1 for an unknown zone, which equals no proxy's own zone.
+func (f *Front) zoneIndex(name string) int {
 	for i, z := range f.cfg.Zones {
 		if z == name {
 			return i
@@ -224,8 +230,9 @@
 	return -1
 }
 
-func (f *Front) closeIdle(m *member) {
-	for len(m.idle) > 0 {
-		f.close(m.idle[len(m.idle)-1])
+// closeIdleConnections closes all idle connections to a member.
+func (f *Front) closeIdleConnections(m *member) {
+	for len(m.idleConnections) > 0 {
+		f.closeConnection(m.idleConnections[len(m.idleConnections)-1])
 	}
 }
--- a/internal/state/requestlog.go
+++ b/internal/state/requestlog.go
@@ -6,27 +6,28 @@
 )
 
 const (
-	// A second's budget of lines about single requests: enough to follow an incident, little against a proxy's traffic.
-	requestLinesPerSecond = 20
-	// lateBy is how much later than its time a request may be answered before it counts as late: the way back is not
-	// part of it, and the client counts it as lost soon after.
-	lateBy = 10 * time.Millisecond
+	// maxRequestLinesPerSecond limits the log lines about single requests: enough to follow an incident, few compared
+	// with a proxy's traffic.
+	maxRequestLinesPerSecond = 20
+	// lateTolerance is how long after its deadline a request may be answered before it counts as late. The deadline does
+	// not include the answer's way to the client, and the client counts the request as lost soon after this tolerance.
+	lateTolerance = 10 * time.Millisecond
 )
 
-// requestLog writes one line for each request that ends badly, up to a number of lines each second. What it leaves out
-// is counted in the next line.
+// requestLog limits the rate of log lines about requests that were refused, failed or late. The number of
+// suppressed lines is logged with the next line.
 type requestLog struct {
-	second     time.Duration // the one that lines are counted in
+	second     time.Duration // the second that lines belongs to
 	lines      int
 	suppressed int
 }
 
-// allow tells whether one more line may be written now.
+// allow reports whether another line may be written now, and counts it as written or suppressed.
 func (l *requestLog) allow(now time.Duration) bool {
 	if second := now.Truncate(time.Second); second != l.second {
 		l.second, l.lines = second, 0
 	}
-	if l.lines >= requestLinesPerSecond {
+	if l.lines >= maxRequestLinesPerSecond {
 		l.suppressed++
 		return false
 	}
@@ -34,11 +35,12 @@
 	return true
 }
 
-// ended notes how a request ended; reason is empty for one that is served.
-func (f *Front) ended(q *request, ending, reason string) {
+// recordRequestEnd counts a request that ended late, and logs one that ended late or for a reason. The reason is
+// empty for a request that was served or abandoned.
+func (f *Front) recordRequestEnd(q *request, ending, reason string) {
 	now := f.clock.Now()
-	late := now - q.deadline
-	if late > lateBy {
+	late := now - q.answerDeadline
+	if late > lateTolerance {
 		f.Counters.Late++
 	} else if reason == "" {
 		return
@@ -47,10 +49,10 @@
 		return
 	}
 	slog.Info("request ended", "id", q.name, "class", f.cfg.Logic.Classes[q.class].Name, "group", q.group,
-		"ending", ending, "reason", reason, "attempts", q.tries, "after", now-q.takenAt, "late", max(late, 0),
+		"ending", ending, "reason", reason, "attempts", q.attempts, "after", now-q.receivedAt, "late", max(late, 0),
 		"suppressed", f.requestLog.suppressed)
 	f.requestLog.suppressed = 0
 }
 
-// refusalNames name the reasons for a refusal in the log.
+// refusalNames holds the names of refusal reasons in the log, indexed by logic.Refusal.
 var refusalNames = [...]string{"no time left", "no usable primary", "no room at any member"}
