--- a/internal/net/client.go
+++ b/internal/net/client.go
@@ -14,159 +14,165 @@
 )
 
 const (
-	// So long has a client for its first whole query, and for the rest of one that it has begun. One that stays
-	// silent or stops half way holds a descriptor for nobody, and is owed an error or a close within three seconds.
-	queryPatience = 2200 * time.Millisecond
-	maxBuffered   = 2 * pg.MaxMessage // of queries that wait for room under way
-	// Closed over unread bytes, a connection is reset, and the last answers may be lost with it. So the client is told
-	// the end first and has so long to close its side, many times the way there and back.
-	lingerFor    = 200 * time.Millisecond
-	maxPipelined = 16 // queries of one client that may be under way; hundreds at once would crowd out the others'
+	// queryTimeout is how long a client may take to send its first complete query, and the rest of a query that it has
+	// begun. A client that sends nothing or stops midway occupies a descriptor for nothing; it must get an error or be
+	// closed within three seconds.
+	queryTimeout     = 2200 * time.Millisecond
+	maxBufferedBytes = 2 * pg.MaxMessage // per client; queries that wait while its pipeline is full
+	// Closing a socket that holds unread input resets the connection, which may lose the last responses. So the proxy
+	// closes its write side first and gives the client lingerTimeout, many round-trip times, to close the other.
+	lingerTimeout       = 200 * time.Millisecond
+	maxPipelinedQueries = 16 // in progress per client; hundreds at once would crowd out those of other clients
 )
 
 var (
-	errTooMany = errors.New("too many queries at once")
-	errTooSlow = errors.New("no whole query in time")
+	errTooManyQueries = errors.New("too many queries at once")
+	errQueryTimeout   = errors.New("no whole query in time")
 )
 
-type phase uint8
+// connState is the stage of a client's connection.
+type connState uint8
 
 const (
-	phaseStartup phase = iota
-	phaseServing
-	phaseLeaving // gets its last word or has got it: what it still sends is nobody's
-	phaseClosed
+	stateStartup connState = iota
+	stateServing
+	stateClosing // the final response is queued or sent; further input is discarded
+	stateClosed
 )
 
-// client is a connection of a client.
+// client is the connection of one client.
 type client struct {
-	s     *Server
-	conn  netpoll.Connection
-	fd    *descriptor
-	in    buffer
-	phase phase
-	full  bool // beyond the proxy's limit: it is turned away once it has spoken
-	held  int  // bytes of its buffer that are in the server's account
-	asked bool // it has sent a whole query
-	ended bool // nothing more is sent to it
-	half  bool // it has sent a part of one, and the timer runs for the rest
-	slots []*slot
-	timer state.Deadline
-
-	list  *list.List // the server's silent, idle or ending clients, or nil
-	place *list.Element
-	since time.Duration // when it came there
+	server         *Server
+	conn           netpoll.Connection
+	fd             *descriptor
+	input          buffer
+	connState      connState
+	excess         bool // over the client limit: turned away after its startup message
+	accountedBytes int  // bytes of input that are included in Server.bufferedBytes
+	hasQueried     bool // a complete query has arrived
+	writeClosed    bool // nothing more is sent to the client
+	partialQuery   bool // part of a query has arrived, and timer limits the wait for the rest
+	responses      []*pendingResponse
+	timer          state.Deadline
+
+	list        *list.List // the server's list of silent, idle or closing clients that holds this one, or nil
+	listElement *list.Element
+	listedSince time.Duration // when the client was added to list
 }
 
-// slot is a query in its place in the order of answers.
-type slot struct {
-	c      *client
-	id     logic.RequestID
-	answer []byte
-	done   bool
-	last   bool // the connection ends behind it
+// pendingResponse is the response to one query. Responses are sent in the order of the queries.
+type pendingResponse struct {
+	c          *client
+	id         logic.RequestID
+	answer     []byte
+	done       bool
+	closeAfter bool // the connection closes after this response
 }
 
-// readable takes in what has come.
-func (c *client) readable() {
-	if err := c.in.fill(c.conn.Reader()); err != nil {
-		c.hangUp()
+// onReadable reads the available input and processes it.
+func (c *client) onReadable() {
+	if err := c.input.fill(c.conn.Reader()); err != nil {
+		c.close()
 		return
 	}
-	c.parse()
+	c.processInput()
 }
 
-// parse takes whole messages out of the buffer, as many as may be under way.
-func (c *client) parse() {
-	defer c.settle()
-	for used := 0; c.phase < phaseLeaving; {
-		n, err := c.next(c.in.bytes[used:])
-		if used += n; err == nil && n == 0 && len(c.in.bytes)-used > maxBuffered {
-			err = errTooMany
+// processInput handles the complete messages in the input buffer, up to the limit on queries in progress.
+func (c *client) processInput() {
+	defer c.updateEvictionList()
+	for used := 0; c.connState < stateClosing; {
+		n, err := c.handleMessage(c.input.bytes[used:])
+		if used += n; err == nil && n == 0 && len(c.input.bytes)-used > maxBufferedBytes {
+			err = errTooManyQueries
 		}
 		if err != nil {
-			c.malformed(err)
+			c.protocolError(err)
 			continue
 		}
 		if n > 0 {
 			continue
 		}
-		c.in.cut(used)
-		c.patience(used > 0)
-		if c.account(); c.s.buffered <= c.s.maxBuffered || len(c.in.bytes) <= keepRoom {
+		c.input.discard(used)
+		c.updateQueryTimer(used > 0)
+		if c.accountBuffer(); c.server.bufferedBytes <= c.server.maxBufferedBytes || len(c.input.bytes) <= maxIdleCapacity {
 			return
 		}
-		c.s.front.Counters.TurnedAway++ // half a query has not been taken yet
-		c.leave(pg.CodeTooMany, "no memory for a query of this size now")
+		c.server.dispatcher.Counters.TurnedAway++ // the partial query has not been taken as a request
+		c.closeWithError(pg.CodeTooMany, "no memory for a query of this size now")
 	}
-	c.in.cut(len(c.in.bytes)) // what comes behind the end is nobody's
-	c.account()
+	c.input.discard(len(c.input.bytes)) // input after the final response is ignored
+	c.accountBuffer()
 }
 
-// patience sets the time for the rest of a query that has been sent in part, once for each query.
-func (c *client) patience(anew bool) {
-	if !c.asked {
-		return // the time since it came runs
+// updateQueryTimer starts the timeout for the rest of a partial query, once per query, and clears it when no partial
+// query is left.
+func (c *client) updateQueryTimer(newQuery bool) {
+	if !c.hasQueried {
+		return // the timeout for the first query, set on accept, still runs
 	}
-	half := len(c.in.bytes) > 0 && len(c.slots) < maxPipelined
+	partialQuery := len(c.input.bytes) > 0 && len(c.responses) < maxPipelinedQueries
 	switch {
-	case half && (anew || !c.half):
-		c.s.deadlines.Set(&c.timer, c.s.clock.Now()+queryPatience, c.tooSlow)
-	case !half && c.half:
-		c.s.deadlines.Clear(&c.timer)
+	case partialQuery && (newQuery || !c.partialQuery):
+		c.server.deadlines.Set(&c.timer, c.server.clock.Now()+queryTimeout, c.queryTimedOut)
+	case !partialQuery && c.partialQuery:
+		c.server.deadlines.Clear(&c.timer)
 	}
-	c.half = half
+	c.partialQuery = partialQuery
 }
 
-func (c *client) tooSlow() { c.malformed(errTooSlow) }
+func (c *client) queryTimedOut() { c.protocolError(errQueryTimeout) }
 
-func (c *client) malformed(err error) {
-	c.s.front.Counters.Malformed++
-	c.leave(pg.CodeProtocol, err.Error())
+// protocolError counts the error and closes the connection with it.
+func (c *client) protocolError(err error) {
+	c.server.dispatcher.Counters.Malformed++
+	c.closeWithError(pg.CodeProtocol, err.Error())
 }
 
-// settle puts the client among those that may be closed for want of room: the silent ones, which have sent no whole
-// query yet, the idle ones, which are owed nothing, and those that are told the end and have yet to close.
-func (c *client) settle() {
+// updateEvictionList moves the client to the list from which it may be closed to make room: silent clients have sent
+// no complete query yet, idle clients await no response, and closing clients have been sent the end of the connection
+// but have not closed their side yet.
+func (c *client) updateEvictionList() {
 	var to *list.List
 	switch {
-	case c.phase == phaseLeaving && c.ended:
-		to = &c.s.ending
-	case c.phase >= phaseLeaving:
-	case !c.asked:
-		to = &c.s.silent
-	case len(c.slots) == 0 && len(c.in.bytes) == 0:
-		to = &c.s.idle
+	case c.connState == stateClosing && c.writeClosed:
+		to = &c.server.closing
+	case c.connState >= stateClosing:
+	case !c.hasQueried:
+		to = &c.server.silent
+	case len(c.responses) == 0 && len(c.input.bytes) == 0:
+		to = &c.server.idle
 	}
 	if to == c.list {
 		return
 	}
-	c.unlist()
+	c.leaveEvictionList()
 	if c.list = to; to != nil {
-		c.since, c.place = c.s.clock.Now(), to.PushBack(c)
+		c.listedSince, c.listElement = c.server.clock.Now(), to.PushBack(c)
 	}
 }
 
-// unlist takes the client out of the list that it is in.
-func (c *client) unlist() {
+// leaveEvictionList removes the client from the eviction list that holds it, if any.
+func (c *client) leaveEvictionList() {
 	if c.list != nil {
-		c.list.Remove(c.place)
+		c.list.Remove(c.listElement)
 		c.list = nil
 	}
 }
 
-// account keeps the server's sum of what all clients' buffers hold.
-func (c *client) account() {
-	c.s.buffered += len(c.in.bytes) - c.held
-	c.held = len(c.in.bytes)
+// accountBuffer updates the server's total of input buffered for all clients.
+func (c *client) accountBuffer() {
+	c.server.bufferedBytes += len(c.input.bytes) - c.accountedBytes
+	c.accountedBytes = len(c.input.bytes)
 }
 
-// next handles the first message of buf and tells its length; 0 = nothing to do yet.
-func (c *client) next(buf []byte) (int, error) {
-	if c.phase == phaseStartup {
-		return c.startup(buf)
+// handleMessage handles the first message in buf and returns its length, or 0 if the message is incomplete or too many
+// queries are in progress.
+func (c *client) handleMessage(buf []byte) (int, error) {
+	if c.connState == stateStartup {
+		return c.handleStartup(buf)
 	}
-	if len(c.slots) >= maxPipelined {
+	if len(c.responses) >= maxPipelinedQueries {
 		return 0, nil
 	}
 	m, n, err := pg.Next(buf)
@@ -175,180 +181,186 @@
 	}
 	switch m.Type {
 	case pg.TypeTerminate:
-		c.hangUp()
+		c.close()
 		return n, nil
 	case pg.TypeQuery:
 		text, err := pg.QueryText(m)
 		if err != nil {
 			return n, err
 		}
-		return n, c.query(string(text))
+		return n, c.handleQuery(string(text))
 	}
-	return n, pg.ErrMalformed // simple queries only
+	return n, pg.ErrMalformed // only the simple query protocol is supported
 }
 
-func (c *client) startup(buf []byte) (int, error) {
-	o, n, err := pg.NextOpening(buf)
+// handleStartup handles a startup, encryption or cancel request and returns its length, or 0 if it is incomplete.
+func (c *client) handleStartup(buf []byte) (int, error) {
+	opening, n, err := pg.NextOpening(buf)
 	if n == 0 || err != nil {
 		return 0, err
 	}
 	switch {
-	case o == pg.OpenEncrypted:
+	case opening == pg.OpenEncrypted:
 		c.write(pg.AppendRefuseEncryption(nil))
-	case o == pg.OpenCancel:
-		c.hangUp()
-	case c.full:
-		c.s.front.Counters.TurnedAway++
-		c.leave(pg.CodeTooMany, "too many clients")
+	case opening == pg.OpenCancel:
+		c.close()
+	case c.excess:
+		c.server.dispatcher.Counters.TurnedAway++
+		c.closeWithError(pg.CodeTooMany, "too many clients")
 	default:
-		c.phase = phaseServing
+		c.connState = stateServing
 		c.write(pg.AppendWelcome(nil))
 	}
 	return n, nil
 }
 
-func (c *client) query(text string) error {
-	if !c.asked {
-		c.asked = true
-		c.s.deadlines.Clear(&c.timer)
+// handleQuery takes a query as a request. An error means that the query is invalid.
+func (c *client) handleQuery(text string) error {
+	if !c.hasQueried {
+		c.hasQueried = true
+		c.server.deadlines.Clear(&c.timer)
 	}
-	sl := &slot{c: c}
+	resp := &pendingResponse{c: c}
 	if strings.Trim(text, " \t\r\n;") == "" {
-		c.slots = append(c.slots, sl)
-		sl.give(pg.AppendEmpty(nil))
+		c.responses = append(c.responses, resp)
+		resp.complete(pg.AppendEmpty(nil))
 		return nil
 	}
 	st, err := pg.ParseStatement(text)
 	if err != nil {
 		return err
 	}
-	c.slots = append(c.slots, sl)
-	sl.id, err = c.s.front.Take(state.Request{Name: st.ID, Class: st.Class, Wait: st.Wait, Session: st.Session, Group: st.Group,
-		After: st.After, Retry: st.Retry, Command: &st, Caller: sl})
+	c.responses = append(c.responses, resp)
+	resp.id, err = c.server.dispatcher.Take(state.Request{Name: st.ID, Class: st.Class, Wait: st.Wait,
+		Session: st.Session, Group: st.Group, After: st.After, Retry: st.Retry, Command: &st, Caller: resp})
 	if err != nil {
-		c.slots = c.slots[:len(c.slots)-1]
+		c.responses = c.responses[:len(c.responses)-1]
 	}
 	return err
 }
 
 // Served implements state.Caller.
-func (sl *slot) Served(body []byte) { sl.give(pg.AppendServed(nil, body)) }
+func (resp *pendingResponse) Served(body []byte) { resp.complete(pg.AppendServed(nil, body)) }
 
 // Refused implements state.Caller.
-func (sl *slot) Refused(comeBack time.Duration) { sl.give(pg.AppendRefused(nil, comeBack)) }
+func (resp *pendingResponse) Refused(comeBack time.Duration) {
+	resp.complete(pg.AppendRefused(nil, comeBack))
+}
 
 // Failed implements state.Caller.
-func (sl *slot) Failed() { sl.give(pg.AppendFailed(nil)) }
+func (resp *pendingResponse) Failed() { resp.complete(pg.AppendFailed(nil)) }
 
-// give notes an answer and writes all that are next in order.
-func (sl *slot) give(answer []byte) {
-	c := sl.c
-	sl.done, sl.answer = true, answer
+// complete records the response and sends every response that is next in order.
+func (resp *pendingResponse) complete(answer []byte) {
+	c := resp.c
+	resp.done, resp.answer = true, answer
 	n, out := 0, []byte(nil)
-	last := false
-	for ; n < len(c.slots) && c.slots[n].done; n++ {
-		last = c.slots[n].last
+	closeAfter := false
+	for ; n < len(c.responses) && c.responses[n].done; n++ {
+		closeAfter = c.responses[n].closeAfter
 		if out == nil {
-			out = c.slots[n].answer
+			out = c.responses[n].answer
 		} else {
-			out = append(out, c.slots[n].answer...)
+			out = append(out, c.responses[n].answer...)
 		}
 	}
 	if n == 0 {
 		return
 	}
-	held := len(c.slots) >= maxPipelined
-	c.slots = append(c.slots[:0], c.slots[n:]...)
+	wasFull := len(c.responses) >= maxPipelinedQueries
+	c.responses = append(c.responses[:0], c.responses[n:]...)
 	c.write(out)
-	if last {
-		c.finish()
+	if closeAfter {
+		c.closeGracefully()
 	}
-	if held { // queries may wait in the buffer for room
-		c.s.loop.Post(c.parse)
+	if wasFull { // buffered queries may have waited for one to end
+		c.server.loop.Post(c.processInput)
 	}
-	if c.s.draining && len(c.slots) == 0 {
-		c.s.loop.Post(func() { c.closeIdle(false) })
+	if c.server.draining && len(c.responses) == 0 {
+		c.server.loop.Post(func() { c.closeIfIdle(false) })
 	}
-	c.settle()
+	c.updateEvictionList()
 }
 
-// write sends bytes. The socket's buffer has room for several of the largest answers: only a client that has
-// stopped reading makes a write wait, and it is given up after writePatience.
+// write sends bytes. The socket's send buffer holds several of the largest responses, so only a client that has
+// stopped reading blocks a write; its connection is closed after writeTimeout.
 func (c *client) write(b []byte) {
-	if c.phase == phaseClosed {
+	if c.connState == stateClosed {
 		return
 	}
 	if _, err := c.conn.Write(b); err != nil {
-		c.hangUp()
+		c.close()
 	}
 }
 
-// leave gives the client a last word, behind the answers that are still due: what it asked before it broke the
-// protocol has been taken.
-func (c *client) leave(code, text string) {
-	if c.phase >= phaseLeaving {
+// closeWithError sends a fatal error and closes the connection. Responses that are still due come first: the queries
+// that preceded the protocol error have been taken.
+func (c *client) closeWithError(code, text string) {
+	if c.connState >= stateClosing {
 		return
 	}
-	c.phase = phaseLeaving
-	c.s.deadlines.Clear(&c.timer)
-	sl := &slot{c: c, last: true}
-	c.slots = append(c.slots, sl)
-	sl.give(pg.AppendFatal(nil, code, text))
+	c.connState = stateClosing
+	c.server.deadlines.Clear(&c.timer)
+	resp := &pendingResponse{c: c, closeAfter: true}
+	c.responses = append(c.responses, resp)
+	resp.complete(pg.AppendFatal(nil, code, text))
 }
 
-// closeIdle ends a connection that owes nothing; half a query, which has not been taken, holds it up unless the client
-// has had its time for the rest.
-func (c *client) closeIdle(half bool) {
-	if c.phase < phaseLeaving && len(c.slots) == 0 && (half || len(c.in.bytes) == 0) && c.quiet() {
-		c.finish()
+// closeIfIdle closes a connection that awaits no response. A partial query, which has not been taken, prevents this
+// unless allowPartial is set, once the client has had its time to send the rest.
+func (c *client) closeIfIdle(allowPartial bool) {
+	if c.connState < stateClosing && len(c.responses) == 0 && (allowPartial || len(c.input.bytes) == 0) && c.allInputSeen() {
+		c.closeGracefully()
 	}
 }
 
-// quiet tells that nothing has come that the loop has yet to see.
-func (c *client) quiet() bool { return c.fd.empty() }
-
-// finish ends a connection in good order. What crosses the end is read, so that no reset takes the last answers away,
-// and not sent on: the client sees that it has no answer and sends it elsewhere.
-func (c *client) finish() {
-	c.phase, c.ended = phaseLeaving, true
-	c.fd.endSending()
-	c.in.cut(len(c.in.bytes))
-	c.account()
-	c.settle()
-	c.s.deadlines.Set(&c.timer, c.s.clock.Now()+lingerFor, c.hangUp)
+// allInputSeen reports whether the loop has seen all input that has arrived.
+func (c *client) allInputSeen() bool { return c.fd.readBuffersEmpty() }
+
+// closeGracefully closes the write side and waits for the client to close the connection. Input that arrives meanwhile
+// is read, so that no reset discards the last responses, but it is not processed: the client sees that it got no
+// response and sends the query elsewhere.
+func (c *client) closeGracefully() {
+	c.connState, c.writeClosed = stateClosing, true
+	c.fd.closeWrite()
+	c.input.discard(len(c.input.bytes))
+	c.accountBuffer()
+	c.updateEvictionList()
+	c.server.deadlines.Set(&c.timer, c.server.clock.Now()+lingerTimeout, c.close)
 }
 
-func (c *client) abandon() {
-	for _, sl := range c.slots {
-		if !sl.done && sl.id != 0 {
-			c.s.front.Abandon(sl.id)
+// abandonRequests abandons the client's open requests.
+func (c *client) abandonRequests() {
+	for _, resp := range c.responses {
+		if !resp.done && resp.id != 0 {
+			c.server.dispatcher.Abandon(resp.id)
 		}
 	}
-	c.slots = nil
+	c.responses = nil
 }
 
-// hangUp closes the connection from this side, closed follows.
-func (c *client) hangUp() {
-	if c.phase == phaseClosed {
+// close closes the connection immediately. The later callback for the closed connection has no effect.
+func (c *client) close() {
+	if c.connState == stateClosed {
 		return
 	}
-	c.closed()
+	c.onClosed()
 	c.conn.Close()
 }
 
-// closed forgets the connection; what it has asked is abandoned.
-func (c *client) closed() {
-	if c.phase == phaseClosed {
+// onClosed releases what the connection holds and abandons its open requests.
+func (c *client) onClosed() {
+	if c.connState == stateClosed {
 		return
 	}
-	c.phase = phaseClosed
-	c.s.deadlines.Clear(&c.timer)
-	c.abandon()
-	c.in.bytes = nil
-	c.account()
-	c.settle()
-	delete(c.s.clients, c)
-	if c.full {
-		c.s.excess--
+	c.connState = stateClosed
+	c.server.deadlines.Clear(&c.timer)
+	c.abandonRequests()
+	c.input.bytes = nil
+	c.accountBuffer()
+	c.updateEvictionList()
+	delete(c.server.clients, c)
+	if c.excess {
+		c.server.excessClients--
 	}
 }
--- a/internal/net/database.go
+++ b/internal/net/database.go
@@ -15,21 +15,21 @@
 	"havenproxy/logic"
 )
 
-// The names under which the proxy enters databases.
+// User, database and load query that the proxy sends to databases.
 const (
 	databaseUser = "client"
 	databaseName = "core"
 	loadQuery    = "SHOW load"
 )
 
-// answerPatience is how long an answer may take from its first bytes to its end, which a database writes at once. One
-// that doesn't end is spoilt; waited for until the client's time is up, it leaves none for another attempt.
-const answerPatience = 100 * time.Millisecond
+// responseTimeout is how long a response may take from its first bytes to its end; a database writes it in one go.
+// Waiting for an incomplete response until the client's time is up would leave no time for another attempt.
+const responseTimeout = 100 * time.Millisecond
 
 var (
-	errNoRow   = errors.New("an answer without its one row")
-	errNoEnd   = errors.New("an answer without its end")
-	errUnasked = errors.New("an answer that nobody asked for")
+	errMissingRow         = errors.New("response does not contain exactly one row and its completion")
+	errIncompleteResponse = errors.New("response is incomplete")
+	errUnexpectedResponse = errors.New("unexpected response: no command was sent")
 )
 
 // Databases opens connections to databases. It implements state.Opener.
@@ -38,105 +38,108 @@
 	ConnectTimeout time.Duration
 	Counters       *state.Counters
 
-	toldAt  time.Duration // when spoilt bytes were last logged
-	givenUp int           // dials whose connection nobody waits for any more
+	malformedLoggedAt time.Duration // when malformed data was last logged
+	abandonedDials    int           // dials in progress whose connection was closed meanwhile
 }
 
 // GivenUp implements state.Opener.
-func (d *Databases) GivenUp() int { return d.givenUp }
+func (databases *Databases) GivenUp() int { return databases.abandonedDials }
 
-// tellSpoilt is how often it is logged that databases send what is no answer, at most.
-const tellSpoilt = 10 * time.Second
+// malformedLogInterval is the minimum time between log lines about malformed data from databases.
+const malformedLogInterval = 10 * time.Second
 
-func (d *Databases) noteSpoilt(address string, err error) {
-	d.Counters.Spoilt++
-	if now := d.Loop.clock.Now(); d.toldAt == 0 || now-d.toldAt >= tellSpoilt {
-		d.toldAt = now
-		slog.Warn("database sends what is no answer", "address", address, "error", err)
+// recordMalformed counts malformed data from a database and logs it, at most once per malformedLogInterval.
+func (databases *Databases) recordMalformed(address string, err error) {
+	databases.Counters.Spoilt++
+	if now := databases.Loop.clock.Now(); databases.malformedLoggedAt == 0 ||
+		now-databases.malformedLoggedAt >= malformedLogInterval {
+		databases.malformedLoggedAt = now
+		slog.Warn("malformed data from a database", "address", address, "error", err)
 	}
 }
 
-// database is a connection to a database. It implements state.Conn.
-type database struct {
-	d       *Databases
-	address string
-	to      state.Listener
-	conn    netpoll.Connection // nil until it is connected
-	fd      *descriptor
-	in      buffer
-	out     []byte
-	reply   pg.Reply
-	dialled bool // the dial has ended, one way or the other
-	up      bool
-	owes    bool // an answer: to the startup message, or to the last command
-	probing bool // the last command was one for the load report
-	closed  bool
-	rest    state.Deadline // set while a part of an answer has come
-	begun   bool
+// databaseConn is a connection to a database. It implements state.Conn.
+type databaseConn struct {
+	databases        *Databases
+	address          string
+	handler          state.Listener
+	conn             netpoll.Connection // nil until connected
+	fd               *descriptor
+	input            buffer
+	output           []byte
+	reply            pg.Reply
+	dialDone         bool // the dial has succeeded or failed
+	established      bool // the startup has been answered
+	awaitingResponse bool // to the startup message or to the last command
+	probing          bool // the last command was a load query
+	closed           bool
+	responseTimer    state.Deadline // set while a response is incomplete
+	responseStarted  bool
 }
 
-// Open implements state.Opener. Only the connecting itself waits, and it does so beside the loop.
-func (d *Databases) Open(address string, to state.Listener) state.Conn {
-	db := &database{d: d, address: address, to: to}
-	connect(d.Loop, address, d.ConnectTimeout, db.connected)
+// Open implements state.Opener. Only the dial blocks, on a goroutine of its own.
+func (databases *Databases) Open(address string, handler state.Listener) state.Conn {
+	db := &databaseConn{databases: databases, address: address, handler: handler}
+	connect(databases.Loop, address, databases.ConnectTimeout, db.onConnected)
 	return db
 }
 
-// connect dials beside the loop and tells the loop how it went.
-func connect(loop *Loop, address string, timeout time.Duration, then func(netpoll.Connection, error)) {
+// connect dials on a goroutine of its own and runs done on the loop with the result.
+func connect(loop *Loop, address string, timeout time.Duration, done func(netpoll.Connection, error)) {
 	go func() {
 		conn, err := netpoll.DialConnection("tcp", address, timeout)
 		if err == nil {
-			conn.SetWriteTimeout(writePatience)
-			// As much room as the largest query takes: a database that doesn't read must not stop the loop. Likewise for
-			// what comes in: netpoll reads ahead of the loop, which is to see early that an answer never ends.
+			conn.SetWriteTimeout(writeTimeout)
+			// The send buffer holds the largest query, so that a database that doesn't read can't block the loop. The receive
+			// buffer is limited because netpoll reads ahead of the loop, which is to notice early that a response never ends.
 			if c, ok := conn.(netpoll.Conn); ok {
 				syscall.SetsockoptInt(c.Fd(), syscall.SOL_SOCKET, syscall.SO_SNDBUF, sendBuffer)
 				syscall.SetsockoptInt(c.Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBuffer)
 			}
 		}
-		loop.Post(func() { then(conn, err) })
+		loop.Post(func() { done(conn, err) })
 	}()
 }
 
-// attach lets the loop know what comes on a connection that was dialled, and its end.
-func attach(loop *Loop, conn netpoll.Connection, readable, down func()) {
+// setCallbacks has the loop informed of input on a connection and of its end.
+func setCallbacks(loop *Loop, conn netpoll.Connection, onReadable, onClose func()) {
 	conn.AddCloseCallback(func(netpoll.Connection) error {
-		loop.Post(down)
+		loop.Post(onClose)
 		return nil
 	})
 	conn.SetOnRequest(func(context.Context, netpoll.Connection) error {
-		readable()
+		onReadable()
 		return nil
 	})
-	if !conn.IsActive() { // it ended before the callbacks were there
+	if !conn.IsActive() { // closed before the callbacks were set
 		conn.Close()
 	}
 }
 
-func (db *database) connected(conn netpoll.Connection, err error) {
-	db.dialled = true
+// onConnected handles the result of the dial and sends the startup message.
+func (db *databaseConn) onConnected(conn netpoll.Connection, err error) {
+	db.dialDone = true
 	switch {
 	case db.closed:
-		db.d.givenUp--
+		db.databases.abandonedDials--
 		if err == nil {
 			conn.Close()
 		}
 		return
 	case err != nil:
-		db.lost(err)
+		db.connectionLost(err)
 		return
 	}
-	db.conn, db.fd = conn, descriptorOf(conn)
-	attach(db.d.Loop, conn, db.readable, func() { db.lost(nil) })
+	db.conn, db.fd = conn, newDescriptor(conn)
+	setCallbacks(db.databases.Loop, conn, db.onReadable, func() { db.connectionLost(nil) })
 	if !db.closed {
-		db.owes = true
+		db.awaitingResponse = true
 		db.write(pg.AppendStartup(nil, databaseUser, databaseName))
 	}
 }
 
-// write sends bytes; an error tells that the last one was not written, and ends the connection.
-func (db *database) write(b []byte) error {
+// write sends bytes. An error means that the last byte was not written, and that the connection ends.
+func (db *databaseConn) write(b []byte) error {
 	if db.closed || db.conn == nil {
 		return stdnet.ErrClosed
 	}
@@ -145,133 +148,136 @@
 }
 
 // Send implements state.Conn.
-func (db *database) Send(cmd state.Command, wait time.Duration) error {
+func (db *databaseConn) Send(cmd state.Command, wait time.Duration) error {
 	db.reply.Reset()
-	db.owes, db.probing = true, false
-	db.out = cmd.AppendTo(db.out[:0], wait)
-	err := db.write(db.out)
-	if cap(db.out) > keepRoom {
-		db.out = nil
+	db.awaitingResponse, db.probing = true, false
+	db.output = cmd.AppendTo(db.output[:0], wait)
+	err := db.write(db.output)
+	if cap(db.output) > maxIdleCapacity {
+		db.output = nil
 	}
 	return err
 }
 
 // Probe implements state.Conn.
-func (db *database) Probe() error {
+func (db *databaseConn) Probe() error {
 	db.reply.Reset()
-	db.owes, db.probing = true, true
+	db.awaitingResponse, db.probing = true, true
 	return db.write(pg.AppendQuery(nil, loadQuery))
 }
 
-// Quiet implements state.Conn. Answers bear no name: whatever comes without a command, even what the kernel still
-// holds, would be taken for the answer to the next one.
-func (db *database) Quiet() bool {
-	return !db.closed && db.conn != nil && !db.owes && db.conn.IsActive() && len(db.in.bytes) == 0 && db.fd.empty()
+// Quiet implements state.Conn. Responses carry no identifier: anything that arrives without a command, even if it is
+// still in the kernel's buffer, would be taken for the response to the next command.
+func (db *databaseConn) Quiet() bool {
+	return !db.closed && db.conn != nil && !db.awaitingResponse && db.conn.IsActive() &&
+		len(db.input.bytes) == 0 && db.fd.readBuffersEmpty()
 }
 
 // Close implements state.Conn.
-func (db *database) Close() {
+func (db *databaseConn) Close() {
 	if db.closed {
 		return
 	}
 	db.closed = true
-	db.whole()
+	db.clearResponseTimer()
 	if db.conn != nil {
 		db.conn.Close()
-	} else if !db.dialled {
-		db.d.givenUp++
+	} else if !db.dialDone {
+		db.databases.abandonedDials++
 	}
 }
 
-// lost tells the state that the connection has ended, unless it closed it itself.
-func (db *database) lost(err error) {
+// connectionLost reports the end of the connection to the handler, unless the handler has closed it itself.
+func (db *databaseConn) connectionLost(err error) {
 	if db.closed {
 		return
 	}
-	if err == nil && db.owes && db.reply.Code != "" { // a fatal error needs nothing behind it
-		db.to.Reply(db.outcome())
+	if err == nil && db.awaitingResponse && db.reply.Code != "" { // nothing has to follow a fatal error
+		db.handler.Reply(db.stateReply())
 	}
 	if db.closed {
 		return
 	}
 	db.Close()
-	db.to.Down()
+	db.handler.Down()
 }
 
-func (db *database) readable() {
-	if err := db.in.fill(db.conn.Reader()); err != nil {
-		db.lost(err)
+// onReadable processes the available input up to the end of a response.
+func (db *databaseConn) onReadable() {
+	if err := db.input.fill(db.conn.Reader()); err != nil {
+		db.connectionLost(err)
 		return
 	}
 	for used := 0; !db.closed; {
-		m, n, err := pg.Next(db.in.bytes[used:])
+		m, n, err := pg.Next(db.input.bytes[used:])
 		switch {
 		case err != nil:
-		case n > 0 && !db.owes:
-			err = errUnasked
+		case n > 0 && !db.awaitingResponse:
+			err = errUnexpectedResponse
 		case n > 0:
 			err = db.reply.Add(m)
 		}
-		if err != nil { // what comes behind broken bytes can't be trusted either
-			db.spoilt(err)
+		if err != nil { // data after malformed data can't be trusted either
+			db.abortMalformed(err)
 			return
 		}
 		if used += n; n == 0 || db.reply.Ready() {
-			db.in.cut(used)
+			db.input.discard(used)
 			if n > 0 {
-				db.whole()
-				db.ready()
-			} else if db.owes && db.up && !db.begun {
-				db.begun = true
-				db.d.Loop.deadlines.Set(&db.rest, db.d.Loop.clock.Now()+answerPatience, db.stalled)
+				db.clearResponseTimer()
+				db.responseComplete()
+			} else if db.awaitingResponse && db.established && !db.responseStarted {
+				db.responseStarted = true
+				db.databases.Loop.deadlines.Set(&db.responseTimer, db.databases.Loop.clock.Now()+responseTimeout,
+					db.responseTimedOut)
 			}
 			return
 		}
 	}
 }
 
-// whole ends the wait for the rest of an answer.
-func (db *database) whole() {
-	db.begun = false
-	db.d.Loop.deadlines.Clear(&db.rest)
+// clearResponseTimer ends the wait for the rest of a response.
+func (db *databaseConn) clearResponseTimer() {
+	db.responseStarted = false
+	db.databases.Loop.deadlines.Clear(&db.responseTimer)
 }
 
-// stalled finds an answer without its end, unless that has come and only the loop was late.
-func (db *database) stalled() {
-	if db.begun = false; db.conn.Reader().Len() == 0 {
-		db.spoilt(errNoEnd)
+// responseTimedOut fails an incomplete response, unless the rest has arrived and only the loop was late.
+func (db *databaseConn) responseTimedOut() {
+	if db.responseStarted = false; db.conn.Reader().Len() == 0 {
+		db.abortMalformed(errIncompleteResponse)
 	}
 }
 
-// ready hands over the answer that is now whole; the first one ends the start of the session. What has come behind
-// it is left where it is: it makes the connection unfit for another command, but the answer counts.
-func (db *database) ready() {
-	db.owes = false
-	if !db.up && db.reply.Code == "" {
-		db.up = true
+// responseComplete passes a complete response to the handler; the first one completes the startup. Data that follows
+// the response stays in the buffer: it makes the connection unfit for another command, but the response is valid.
+func (db *databaseConn) responseComplete() {
+	db.awaitingResponse = false
+	if !db.established && db.reply.Code == "" {
+		db.established = true
 		db.reply.Reset()
-		db.to.Up()
+		db.handler.Up()
 		return
 	}
-	r := db.outcome()
+	r := db.stateReply()
 	if r.Result == logic.OK && !db.reply.Served() {
-		db.spoilt(errNoRow)
+		db.abortMalformed(errMissingRow)
 		return
 	}
-	db.to.Reply(r)
+	db.handler.Reply(r)
 }
 
-// spoilt ends a connection on which sense and nonsense can't be told apart any more.
-func (db *database) spoilt(err error) {
-	db.d.noteSpoilt(db.address, err)
+// abortMalformed closes a connection on which malformed data has arrived and valid data can't be recognized any more.
+func (db *databaseConn) abortMalformed(err error) {
+	db.databases.recordMalformed(db.address, err)
 	db.Close()
-	// netpoll closes it when this callback has returned; no further attempt may go out before that.
-	db.d.Loop.Post(db.to.Spoilt)
+	// netpoll closes the connection after this callback has returned; no other attempt may be sent before that.
+	db.databases.Loop.Post(db.handler.Spoilt)
 }
 
-// outcome puts an answer into the terms of the decisions.
-func (db *database) outcome() state.Reply {
-	r := state.Reply{Result: logic.Failed, Body: db.reply.Body, Position: db.reply.Position, Role: roleOf(db.reply.Role)}
+// stateReply converts the response to a state.Reply.
+func (db *databaseConn) stateReply() state.Reply {
+	r := state.Reply{Result: logic.Failed, Body: db.reply.Body, Position: db.reply.Position, Role: parseRole(db.reply.Role)}
 	switch db.reply.Code {
 	case "":
 		r.Result = logic.OK
@@ -287,12 +293,13 @@
 		report = db.reply.Row()
 	}
 	if l := pg.ParseReport(report); l.Told {
-		r.Load = state.Load{Told: true, Role: roleOf(l.Role), Position: l.Position, Queue: l.Queue}
+		r.Load = state.Load{Told: true, Role: parseRole(l.Role), Position: l.Position, Queue: l.Queue}
 	}
 	return r
 }
 
-func roleOf(name string) logic.Role {
+// parseRole converts the name of a role as databases report it.
+func parseRole(name string) logic.Role {
 	switch name {
 	case pg.RolePrimary:
 		return logic.RolePrimary
--- a/internal/net/descriptor.go
+++ b/internal/net/descriptor.go
@@ -7,21 +7,23 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// descriptor is that of a connection, for what netpoll doesn't offer. netpoll closes it on a goroutine of its own, and
-// the number may then be another connection's: it is used under the lock, and no more once it is to be closed.
+// descriptor holds the file descriptor of a connection, for system calls that netpoll doesn't offer. netpoll closes the
+// descriptor on a goroutine of its own, after which its number may belong to another connection. So it is used only
+// under the lock, and not any more once it is about to be closed.
 type descriptor struct {
 	conn netpoll.Connection
 	mu   sync.Mutex
-	fd   int // -1 once it is to be closed
+	fd   int // -1 once it is about to be closed
 }
 
-// descriptorOf is to be called before netpoll may close the connection: when it is accepted or attached.
-func descriptorOf(conn netpoll.Connection) *descriptor {
+// newDescriptor must be called before netpoll may close the connection: when it is accepted, or when its callbacks are
+// set.
+func newDescriptor(conn netpoll.Connection) *descriptor {
 	d := &descriptor{conn: conn, fd: -1}
 	if c, ok := conn.(netpoll.Conn); ok {
 		d.fd = c.Fd()
 	}
-	conn.AddCloseCallback(func(netpoll.Connection) error { // the callback added last runs first, and the closing last
+	conn.AddCloseCallback(func(netpoll.Connection) error { // the last callback added runs first, before the one that closes
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.fd = -1
@@ -30,9 +32,9 @@
 	return d
 }
 
-// empty tells that nothing of the connection is still to be taken in, neither bytes nor their end. netpoll moves them
-// from the kernel to its reader at any time, so the reader is looked at last.
-func (d *descriptor) empty() bool {
+// readBuffersEmpty reports whether the connection has neither unread bytes nor an unread end of stream. netpoll moves
+// bytes from the kernel to its reader at any time, so the reader is checked last.
+func (d *descriptor) readBuffersEmpty() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.fd < 0 {
@@ -42,8 +44,8 @@
 	return err == syscall.EAGAIN && d.conn.Reader().Len() == 0
 }
 
-// endSending tells the peer that nothing more comes; what it sends may still be read.
-func (d *descriptor) endSending() {
+// closeWrite shuts down the sending side; what the peer sends can still be read.
+func (d *descriptor) closeWrite() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.fd >= 0 {
--- a/internal/net/discovery.go
+++ b/internal/net/discovery.go
@@ -16,70 +16,71 @@
 	"havenproxy/logic"
 )
 
-// A change counts as told six seconds after discovery had it and could be reached. A watch that has fallen silent is
-// given up after watchWait and the patience on top of it; the router then asks again after a pause, and that first
-// call, its connection included, has firstWait and the patience. Together, one further failed call included, these
-// stay inside the six seconds. What the agent on this machine holds counts as told at once, so there a call that has
-// failed, the pause and the next call stay inside the half second that a drain grants besides.
+// A proxy must know of a change within six seconds of the time when the discovery service has it and is reachable. A
+// watch that gets no response is given up after longPollWait plus the timeout. The router then calls again after a pause,
+// and that first call, including its connection, may take firstPollWait plus the timeout. Together, even with one more
+// failed call, these stay within the six seconds. What the agent on this machine has counts as known at once, so with an
+// agent a failed call, the pause and the next call stay within the half second of grace that a drain allows.
 const (
-	watchWait       = 1500 * time.Millisecond
-	firstWait       = 50 * time.Millisecond // so that the first answer comes at once
-	agentPatience   = 300 * time.Millisecond
-	servicePatience = time.Second
-	// A list of thousands takes its time on a part of a core: while its bytes come, a call may take so much longer, which
-	// the six seconds still hold.
-	flowPatience = 500 * time.Millisecond
+	longPollWait   = 1500 * time.Millisecond
+	firstPollWait  = 50 * time.Millisecond  // short, so that the first response comes at once
+	agentTimeout   = 300 * time.Millisecond // beyond the wait that a call asks for
+	serviceTimeout = time.Second            // likewise, without an agent
+	// A list of thousands of databases takes time to transfer on a fraction of a core: while its bytes arrive, a call may
+	// take transferAllowance longer, which still fits into the six seconds.
+	transferAllowance = 500 * time.Millisecond
 
-	maxHead   = 16 << 10
-	minPeriod = 100 * time.Millisecond // of calls; a watch ends where the next one is over 200 ms late
+	maxHeaderBytes  = 16 << 10
+	minCallInterval = 100 * time.Millisecond // between the starts of calls; a watch ends if its next call is over 200 ms late
 )
 
-var errNoAnswer = errors.New("no answer in time")
+var errCallTimedOut = errors.New("no response in time")
 
-// Discovery asks for the list of databases. It implements state.Watcher. A call waits beside the loop, and the loop is
-// told its end.
+// Discovery fetches the member list from the discovery service. It implements state.Watcher. A call blocks a goroutine
+// of its own and passes its result to the loop.
 type Discovery struct {
-	loop      *Loop
-	clock     state.Clock
-	deadlines *state.Deadlines
-	front     *state.Front
-	address   string
-	patience  time.Duration
-	client    *http.Client
+	loop       *Loop
+	clock      state.Clock
+	deadlines  *state.Deadlines
+	dispatcher *state.Front
+	address    string
+	timeout    time.Duration
+	client     *http.Client
 
-	cancel     context.CancelFunc // of the call in hand, or nil
-	watching   bool
-	calledAt   time.Duration
-	progress   *callProgress // of the call in hand
-	first      bool          // the next call is the first of its watch
-	generation int64
-	timer      state.Deadline
-	turn       int // counts calls; what an earlier one still has to say is void
-	firstEnd   func()
+	cancel          context.CancelFunc // cancels the call in progress, or nil
+	watching        bool
+	calledAt        time.Duration
+	progress        *callProgress // of the call in progress
+	firstCall       bool          // the next call is the first of its watch
+	generation      int64
+	timer           state.Deadline
+	callNumber      int // number of the latest call; results of earlier ones are ignored
+	onFirstCallDone func()
 }
 
-// NewDiscovery makes the client; generation is that of the list in hand. Agent tells that the address is that of an
-// agent on this machine, which answers at once and at no cost, not that of a service for many.
-func NewDiscovery(loop *Loop, clock state.Clock, front *state.Front, address string, generation int64, agent bool) *Discovery {
-	d := &Discovery{loop: loop, clock: clock, deadlines: &front.Deadlines, front: front, address: address,
-		generation: generation, patience: servicePatience, client: &http.Client{
+// NewDiscovery returns a client for the service at an address; generation is that of the current list. agent tells that
+// the address is that of an agent on this machine, which responds at once and at no cost, not that of a shared service.
+func NewDiscovery(loop *Loop, clock state.Clock, dispatcher *state.Front, address string, generation int64,
+	agent bool) *Discovery {
+	d := &Discovery{loop: loop, clock: clock, deadlines: &dispatcher.Deadlines, dispatcher: dispatcher, address: address,
+		generation: generation, timeout: serviceTimeout, client: &http.Client{
 			Transport: &http.Transport{DialContext: (&stdnet.Dialer{}).DialContext, DisableCompression: true,
-				MaxResponseHeaderBytes: maxHead},
+				MaxResponseHeaderBytes: maxHeaderBytes},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		}}
 	if agent {
-		d.patience = agentPatience
+		d.timeout = agentTimeout
 	}
 	return d
 }
 
-// OnFirstEnd has f called once, when the first call has ended, one way or the other.
-func (d *Discovery) OnFirstEnd(f func()) { d.firstEnd = f }
+// OnFirstEnd sets a function to call once, when the first call has succeeded or failed.
+func (d *Discovery) OnFirstEnd(f func()) { d.onFirstCallDone = f }
 
-// told tells that a call has ended and its news are taken in.
-func (d *Discovery) told() {
-	if f := d.firstEnd; f != nil {
-		d.firstEnd = nil
+// notifyFirstCallDone runs the function set by OnFirstEnd, the first time that a call has ended and its result is processed.
+func (d *Discovery) notifyFirstCallDone() {
+	if f := d.onFirstCallDone; f != nil {
+		d.onFirstCallDone = nil
 		f()
 	}
 }
@@ -88,59 +89,61 @@
 func (d *Discovery) Watch(on bool) {
 	d.watching = on
 	if on {
-		d.begin()
+		d.restart()
 	}
 }
 
 // Fetch implements state.Watcher.
 func (d *Discovery) Fetch() {
 	d.generation = discovery.NoList
-	d.begin()
+	d.restart()
 }
 
-// Move goes on at another address, at once: the service at the old one may end any time. The whole list comes
-// first, for generations there need not be those of the old one.
+// Move switches to another address at once: the service at the old one may end any time. It fetches the full list
+// first, since generations at the new address may not correspond to those at the old one.
 func (d *Discovery) Move(address string) {
 	d.address, d.watching = address, true
 	d.Fetch()
 }
 
-// begin starts with a call that is answered at once. One that is under way gives way to it.
-func (d *Discovery) begin() {
-	d.hangUp()
-	d.first = true
+// restart begins with a call that is answered at once and cancels the call in progress, if any.
+func (d *Discovery) restart() {
+	d.cancelCall()
+	d.firstCall = true
 	d.call()
 }
 
+// call starts a call: a short one if it is the first of its watch, else a long poll.
 func (d *Discovery) call() {
-	d.turn++
-	turn, wait := d.turn, watchWait
-	if d.first {
-		wait = firstWait
+	d.callNumber++
+	callNumber, wait := d.callNumber, longPollWait
+	if d.firstCall {
+		wait = firstPollWait
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancel, d.calledAt = cancel, d.clock.Now()
 	progress := &callProgress{clock: d.clock}
 	d.progress = progress
-	d.expect(wait, d.calledAt+wait+d.patience)
+	d.setCallDeadline(wait, d.calledAt+wait+d.timeout)
 	url := discovery.URL(d.address, d.generation, wait)
 	go func() {
 		defer cancel()
-		l, err := d.get(ctx, url, progress)
-		d.loop.Post(func() { d.ended(turn, l, err) })
+		l, err := d.fetchList(ctx, url, progress)
+		d.loop.Post(func() { d.callDone(callNumber, l, err) })
 	}()
 }
 
-// callProgress tells how far the answer to a call has come. The call's goroutine writes it, the loop reads it.
+// callProgress tracks how much of the response to a call has arrived. The call's goroutine writes it, the loop reads it.
 type callProgress struct {
-	clock    state.Clock
-	lastByte atomic.Int64 // when bytes of the answer last came, on the clock; 0 = none have
-	whole    atomic.Bool  // all of them have come
+	clock      state.Clock
+	lastReadAt atomic.Int64 // clock time when body bytes were last read; 0 = none yet
+	bodyRead   atomic.Bool  // the whole body has been read
 }
 
-// reader notes what is read from an answer's body.
+// reader wraps a response body and records when bytes are read from it.
 func (p *callProgress) reader(body io.Reader) io.Reader { return progressReader{p, body} }
 
+// progressReader records in a callProgress when bytes are read.
 type progressReader struct {
 	progress *callProgress
 	body     io.Reader
@@ -150,30 +153,30 @@
 func (r progressReader) Read(b []byte) (int, error) {
 	n, err := r.body.Read(b)
 	if n > 0 {
-		r.progress.lastByte.Store(int64(r.progress.clock.Now()))
+		r.progress.lastReadAt.Store(int64(r.progress.clock.Now()))
 	}
 	return n, err
 }
 
-// expect gives the call in hand up at a time, unless its answer is coming then: one that has fallen silent has no bytes
-// for as long as the first of them may take. An answer that is all there only has to be decoded.
-func (d *Discovery) expect(wait, at time.Duration) {
+// setCallDeadline fails the call in progress at the given time, unless its response is arriving then. A response stalls
+// when no bytes have come for as long as the first ones may take. One that has arrived whole only has to be decoded.
+func (d *Discovery) setCallDeadline(wait, at time.Duration) {
 	d.deadlines.Set(&d.timer, at, func() {
 		now := d.clock.Now()
-		due := min(time.Duration(d.progress.lastByte.Load()), d.calledAt+wait+flowPatience) + d.patience
-		if d.progress.whole.Load() {
-			due = now + d.patience
+		due := min(time.Duration(d.progress.lastReadAt.Load()), d.calledAt+wait+transferAllowance) + d.timeout
+		if d.progress.bodyRead.Load() {
+			due = now + d.timeout
 		}
 		if due <= now {
-			d.failed(errNoAnswer)
+			d.callFailed(errCallTimedOut)
 			return
 		}
-		d.expect(wait, due)
+		d.setCallDeadline(wait, due)
 	})
 }
 
-// get makes one call. An answer that is cut short, and so one without a length that ends by a reset, is an error.
-func (d *Discovery) get(ctx context.Context, url string, progress *callProgress) (discovery.List, error) {
+// fetchList makes one call. A truncated response is an error, and so is one without a length that ends by a reset.
+func (d *Discovery) fetchList(ctx context.Context, url string, progress *callProgress) (discovery.List, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return discovery.List{}, err
@@ -185,46 +188,48 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return discovery.List{}, fmt.Errorf("status %s", resp.Status)
+		return discovery.List{}, fmt.Errorf("unexpected HTTP status %s", resp.Status)
 	}
 	body, err := io.ReadAll(io.LimitReader(progress.reader(resp.Body), discovery.MaxBody))
 	if err != nil {
 		return discovery.List{}, err
 	}
-	progress.whole.Store(true)
+	progress.bodyRead.Store(true)
 	return discovery.ParseList(body)
 }
 
-// ended takes in how a call ended, unless it was given up before.
-func (d *Discovery) ended(turn int, l discovery.List, err error) {
+// callDone processes the result of a call, unless the call has been cancelled.
+func (d *Discovery) callDone(callNumber int, l discovery.List, err error) {
 	switch {
-	case turn != d.turn || d.cancel == nil:
+	case callNumber != d.callNumber || d.cancel == nil:
 	case err != nil:
-		d.failed(err)
+		d.callFailed(err)
 	case d.generation != discovery.NoList && l.Generation < d.generation:
-		// Older than what is in hand: what it undoes may hold still. Asked for as a whole, the list counts as it comes.
-		err = fmt.Errorf("generation %d after %d", l.Generation, d.generation)
+		// The list is older than the current one and would undo changes that may still hold. The next call fetches the full
+		// list, which is accepted whatever its generation.
+		err = fmt.Errorf("list of generation %d is older than the current one of generation %d", l.Generation, d.generation)
 		d.generation = discovery.NoList
-		d.failed(err)
+		d.callFailed(err)
 	default:
-		d.answered(l)
+		d.listReceived(l)
 	}
 }
 
-func (d *Discovery) answered(l discovery.List) {
+// listReceived passes a list to the dispatcher and schedules the next call of a watch.
+func (d *Discovery) listReceived(l discovery.List) {
 	d.cancel = nil
 	d.deadlines.Clear(&d.timer)
-	d.generation, d.first = l.Generation, false
+	d.generation, d.firstCall = l.Generation, false
 	if d.watching {
-		// The watch goes on if the next call follows closely. A service that answers at once all the same must
-		// not be called in a tight loop: it serves all proxies, one call after the other.
-		d.deadlines.Set(&d.timer, max(d.calledAt+minPeriod, d.clock.Now()), d.call)
+		// The watch continues if the next call follows soon. A service that responds at once must still not be called in a
+		// tight loop: it serves all proxies, one call after the other.
+		d.deadlines.Set(&d.timer, max(d.calledAt+minCallInterval, d.clock.Now()), d.call)
 	}
-	d.front.Listed(ListOf(l))
-	d.told()
+	d.dispatcher.Listed(ListOf(l))
+	d.notifyFirstCallDone()
 }
 
-// ListOf puts a list into the terms of the state.
+// ListOf converts a list of the discovery service to a state.List.
 func ListOf(l discovery.List) state.List {
 	out := state.List{Kind: logic.ListDelta}
 	if l.Whole {
@@ -244,17 +249,18 @@
 	return out
 }
 
-// failed ends a watch; the router asks again when it sees fit.
-func (d *Discovery) failed(err error) {
+// callFailed ends a watch; the router decides when to call again.
+func (d *Discovery) callFailed(err error) {
 	slog.Debug("discovery call failed", "error", err, "after", d.clock.Now()-d.calledAt, "generation", d.generation)
 	d.watching = false
-	d.hangUp()
-	d.front.ListFailed(err)
-	d.told()
+	d.cancelCall()
+	d.dispatcher.ListFailed(err)
+	d.notifyFirstCallDone()
 }
 
-// hangUp gives up the call in hand and the connection with it: a late answer must not come for the next call's.
-func (d *Discovery) hangUp() {
+// cancelCall cancels the call in progress and closes its connection, so that a late response can't be taken for that of
+// the next call.
+func (d *Discovery) cancelCall() {
 	d.deadlines.Clear(&d.timer)
 	if d.cancel != nil {
 		d.cancel()
--- a/internal/net/discovery_test.go
+++ b/internal/net/discovery_test.go
@@ -12,25 +12,26 @@
 	"havenproxy/internal/wire/discovery"
 )
 
-// call is one that has come to an agent, with the connection on which to answer it.
-type call struct {
+// receivedCall is a call that the discovery service has received, with the connection on which to answer it.
+type receivedCall struct {
 	url  string
 	conn *stdnet.TCPConn
 }
 
-func (c call) answer(body string) {
+// answer sends a response with a body.
+func (c receivedCall) answer(body string) {
 	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// agent is a discovery service that answers as the test says.
-func agent(t *testing.T) (address string, calls chan call) {
+// startAgent runs a discovery service whose calls the test receives and answers.
+func startAgent(t *testing.T) (address string, calls chan receivedCall) {
 	t.Helper()
 	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	calls = make(chan call, 99)
+	calls = make(chan receivedCall, 99)
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -40,7 +41,7 @@
 			t.Cleanup(func() { conn.Close() })
 			go func() {
 				for p := (&peer{conn: conn}); ; {
-					head, err := p.next(func(b []byte) (int, error) {
+					head, err := p.readNext(func(b []byte) (int, error) {
 						if at := bytes.Index(b, []byte("\r\n\r\n")); at >= 0 {
 							return at + 4, nil
 						}
@@ -49,7 +50,7 @@
 					if err != nil {
 						return
 					}
-					calls <- call{strings.SplitN(string(head), " ", 3)[1], conn.(*stdnet.TCPConn)}
+					calls <- receivedCall{strings.SplitN(string(head), " ", 3)[1], conn.(*stdnet.TCPConn)}
 				}
 			}()
 		}
@@ -57,72 +58,77 @@
 	return ln.Addr().String(), calls
 }
 
-// watcher is a proxy's discovery on a clock that the test puts forward.
-type watcher struct {
+// testDiscovery is a proxy's Discovery on a clock that the test advances.
+type testDiscovery struct {
 	t *testing.T
 	*Discovery
-	now   *skipClock
-	front *state.Front
-	loop  *Loop
+	testClock  *adjustableClock
+	dispatcher *state.Front
+	loop       *Loop
 }
 
-func watch(t *testing.T, address string, isAgent bool) *watcher {
+// startDiscovery runs a Discovery whose current list has generation 3.
+func startDiscovery(t *testing.T, address string, isAgent bool) *testDiscovery {
 	t.Helper()
-	clock := &skipClock{SystemClock: state.NewClock()}
-	cfg := settings
+	clock := &adjustableClock{SystemClock: state.NewClock()}
+	cfg := testConfig
 	cfg.Pull, cfg.Agent = true, isAgent
-	front, err := state.New(state.Config{Logic: cfg, MaxConnections: 1, ConnectTimeout: patience}, clock, &Databases{})
+	dispatcher, err := state.New(state.Config{Logic: cfg, MaxConnections: 1, ConnectTimeout: testTimeout},
+		clock, &Databases{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &watcher{t: t, now: clock, front: front, loop: NewLoop(clock, &front.Deadlines, &front.Counters)}
-	w.Discovery = NewDiscovery(w.loop, clock, front, address, 3, isAgent)
-	w.loop.Post(func() { front.Start(w.Discovery, state.List{}) })
+	d := &testDiscovery{t: t, testClock: clock, dispatcher: dispatcher,
+		loop: NewLoop(clock, &dispatcher.Deadlines, &dispatcher.Counters)}
+	d.Discovery = NewDiscovery(d.loop, clock, dispatcher, address, 3, isAgent)
+	d.loop.Post(func() { dispatcher.Start(d.Discovery, state.List{}) })
 	done := make(chan struct{})
-	go func() { w.loop.Run(); close(done) }()
-	t.Cleanup(func() { w.loop.Post(w.loop.Stop); <-done })
-	return w
+	go func() { d.loop.Run(); close(done) }()
+	t.Cleanup(func() { d.loop.Post(d.loop.Stop); <-done })
+	return d
 }
 
-// seen reads something on the loop.
-func (w *watcher) seen(what func() int) int {
+// readOnLoop evaluates a function on the loop.
+func (d *testDiscovery) readOnLoop(what func() int) int {
 	got := make(chan int)
-	w.loop.Post(func() { got <- what() })
+	d.loop.Post(func() { got <- what() })
 	return <-got
 }
 
-func (w *watcher) failures() int {
-	return w.seen(func() int { return int(w.front.Counters.ListFailures) })
+// failures returns the number of failed calls.
+func (d *testDiscovery) failures() int {
+	return d.readOnLoop(func() int { return int(d.dispatcher.Counters.ListFailures) })
 }
 
-// until lets time pass in small steps until something is so, and tells how much has passed.
-func (w *watcher) until(so func() bool) time.Duration {
+// advanceUntil advances the clock in small steps until the condition holds, and returns how much time has passed.
+func (d *testDiscovery) advanceUntil(condition func() bool) time.Duration {
 	const step = 5 * time.Millisecond
-	passed := time.Duration(0)
-	for ; !so(); passed += step {
-		if passed > time.Minute {
-			w.t.Fatal("nothing came of a minute")
+	elapsed := time.Duration(0)
+	for ; !condition(); elapsed += step {
+		if elapsed > time.Minute {
+			d.t.Fatal("the condition does not hold after a minute")
 		}
-		w.now.skipped.Add(int64(step))
-		w.seen(func() int { return 0 }) // the loop has looked at what is due
+		d.testClock.offset.Add(int64(step))
+		d.readOnLoop(func() int { return 0 }) // the loop has run what is due
 	}
-	return passed
+	return elapsed
 }
 
-// calling tells whether a call is out.
-func (w *watcher) calling() bool {
-	return w.seen(func() int {
-		if w.cancel != nil {
+// callInFlight reports whether a call is in progress.
+func (d *testDiscovery) callInFlight() bool {
+	return d.readOnLoop(func() int {
+		if d.cancel != nil {
 			return 1
 		}
 		return 0
 	}) == 1
 }
 
-const oneListed = `{"generation":%d,"reset":%t,"instances":[{"instanceId":"a","lifecycle":"in_service"}]}`
+// oneInstanceList is the body of a list with one instance, without its generation and reset.
+const oneInstanceList = `{"generation":%d,"reset":%t,"instances":[{"instanceId":"a","lifecycle":"in_service"}]}`
 
-// An answer is taken in every form that HTTP allows, in pieces, and its generation asked after.
-func TestDiscoveryTakesWholeAnswersInAnyForm(t *testing.T) {
+// A response is accepted in every form that HTTP allows and in fragments, and the next call sends its generation.
+func TestDiscoveryAcceptsCompleteResponsesInAnyEncoding(t *testing.T) {
 	body := "{\n  \"generation\": 5,\n  \"reset\": true,\n  \"instances\": [\n    {\n      \"instanceId\": \"a\",\n      \"lifecycle\": \"in_service\"\n    }\n  ]\n}\n"
 	for name, answer := range map[string]string{
 		"length":  fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body),
@@ -131,8 +137,8 @@
 		"old":     "HTTP/1.0 200 OK\r\n\r\n" + body,
 	} {
 		t.Run(name, func(t *testing.T) {
-			address, calls := agent(t)
-			watch(t, address, true)
+			address, calls := startAgent(t)
+			startDiscovery(t, address, true)
 			c := <-calls
 			if c.url != "/v1/endpoints?after=3&wait_ms=50" {
 				t.Errorf("the first call is %s", c.url)
@@ -150,9 +156,9 @@
 	}
 }
 
-// No list is taken from an answer that is cut short, not even one that would pass for whole, nor from what is none.
-func TestDiscoveryTakesNothingFromTornAnswers(t *testing.T) {
-	body := fmt.Sprintf(oneListed, 9, true)
+// No list is accepted from a truncated response, even if it would pass for a complete one, nor from an invalid one.
+func TestDiscoveryRejectsIncompleteOrInvalidResponses(t *testing.T) {
+	body := fmt.Sprintf(oneInstanceList, 9, true)
 	for name, answer := range map[string]string{
 		"half":           "HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n" + body,
 		"half chunked":   fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(body), body),
@@ -167,8 +173,8 @@
 		"reset":          "HTTP/1.1 200 OK\r\n\r\n" + body,
 	} {
 		t.Run(name, func(t *testing.T) {
-			address, calls := agent(t)
-			w := watch(t, address, true)
+			address, calls := startAgent(t)
+			d := startDiscovery(t, address, true)
 			c := <-calls
 			c.conn.Write([]byte(answer))
 			if name == "reset" {
@@ -176,9 +182,9 @@
 				c.conn.Close()
 			}
 			c.conn.CloseWrite()
-			for w.failures() == 0 { // at once: no time passes
+			for d.failures() == 0 { // at once: the clock is not advanced
 			}
-			w.until(w.calling)
+			d.advanceUntil(d.callInFlight)
 			if c := <-calls; c.url != "/v1/endpoints?after=3&wait_ms=50" {
 				t.Errorf("the next call is %s", c.url)
 			}
@@ -186,149 +192,151 @@
 	}
 }
 
-// What passes between the last answer and the next one stays inside what is allowed, also where the call after a
-// silent watch fails too. The watch used to wait 12 s, and the pause behind it up to 4 s.
-func TestDiscoveryIsAskedAnewInTime(t *testing.T) {
+// The time between the last response and the next call stays within the limit, even if the call after a watch without a
+// response fails too. The watch used to wait 12 s, and the pause after it was up to 4 s.
+func TestDiscoveryRetriesInTime(t *testing.T) {
 	for _, isAgent := range []bool{false, true} {
-		address, calls := agent(t)
-		w := watch(t, address, isAgent)
-		(<-calls).answer(fmt.Sprintf(oneListed, 5, true))
+		address, calls := startAgent(t)
+		d := startDiscovery(t, address, isAgent)
+		(<-calls).answer(fmt.Sprintf(oneInstanceList, 5, true))
 		silent := <-calls
-		passed := w.until(func() bool { return w.failures() == 1 })
-		if passed < watchWait {
-			t.Errorf("the watch was given up after %v", passed)
+		elapsed := d.advanceUntil(func() bool { return d.failures() == 1 })
+		if elapsed < longPollWait {
+			t.Errorf("the watch was given up after %v", elapsed)
 		}
-		anew := w.until(w.calling)
+		retryDelay := d.advanceUntil(d.callInFlight)
 		if silent.conn == (<-calls).conn {
-			t.Error("asked anew on the connection that has fallen silent")
+			t.Error("called again on the connection that got no response")
 		}
-		anew += w.until(func() bool { return w.failures() == 2 }) + w.until(w.calling)
+		retryDelay += d.advanceUntil(func() bool { return d.failures() == 2 }) + d.advanceUntil(d.callInFlight)
 		c := <-calls
-		if passed += anew; passed > 5500*time.Millisecond || isAgent && anew > 600*time.Millisecond {
-			t.Errorf("agent %v: asked for the last time %v after the watch began, %v after it was given up", isAgent, passed, anew)
+		if elapsed += retryDelay; elapsed > 5500*time.Millisecond || isAgent && retryDelay > 600*time.Millisecond {
+			t.Errorf("agent %v: last call %v after the watch began, %v after it was given up", isAgent, elapsed, retryDelay)
 		}
-		silent.answer(fmt.Sprintf(oneListed, 99, true)) // too late
-		c.answer(fmt.Sprintf(oneListed, 6, true))
+		silent.answer(fmt.Sprintf(oneInstanceList, 99, true)) // too late
+		c.answer(fmt.Sprintf(oneInstanceList, 6, true))
 		if c := <-calls; c.url != "/v1/endpoints?after=6&wait_ms=1500" {
-			t.Errorf("then it calls %s", c.url)
+			t.Errorf("the next call is %s", c.url)
 		}
 	}
 }
 
-// A call that is reset is made again: at once where the connection had served before and may have been ended for
-// that, else within a drain's grace.
-func TestDiscoveryIsAskedAnewAfterAReset(t *testing.T) {
-	address, calls := agent(t)
-	w := watch(t, address, true)
-	reset := func(c call) {
+// A call that is reset is repeated: at once if its connection had served another call, since the service may have closed
+// it as idle, else within the grace period of a drain.
+func TestDiscoveryRetriesAfterReset(t *testing.T) {
+	address, calls := startAgent(t)
+	d := startDiscovery(t, address, true)
+	reset := func(c receivedCall) {
 		c.conn.SetLinger(0)
 		c.conn.Close()
 	}
 	reset(<-calls)
-	for w.failures() == 0 {
+	for d.failures() == 0 {
 	}
-	if passed := w.until(w.calling); passed > 150*time.Millisecond {
-		t.Errorf("asked anew after %v", passed)
+	if elapsed := d.advanceUntil(d.callInFlight); elapsed > 150*time.Millisecond {
+		t.Errorf("called again after %v", elapsed)
 	}
-	(<-calls).answer(fmt.Sprintf(oneListed, 5, true))
+	(<-calls).answer(fmt.Sprintf(oneInstanceList, 5, true))
 	reset(<-calls)
 	if c := <-calls; !strings.HasPrefix(c.url, "/v1/endpoints?after=5&") {
-		t.Errorf("then it calls %s", c.url)
+		t.Errorf("the next call is %s", c.url)
 	}
-	if got := w.failures(); got != 1 {
-		t.Errorf("%d failures told, want the first", got)
+	if got := d.failures(); got != 1 {
+		t.Errorf("%d failures reported, want only the first", got)
 	}
 }
 
-// A list older than the one in hand would undo a drain: the whole one is asked for, and counts as it comes.
-func TestDiscoveryDoesNotGoBack(t *testing.T) {
-	address, calls := agent(t)
-	w := watch(t, address, true)
+// A list older than the current one would undo a drain: the full list is fetched, and accepted whatever its generation.
+func TestDiscoveryRejectsOlderGeneration(t *testing.T) {
+	address, calls := startAgent(t)
+	d := startDiscovery(t, address, true)
 	(<-calls).answer(`{"generation":5,"reset":true,"instances":[{"instanceId":"a","lifecycle":"terminating"}]}`)
-	(<-calls).answer(fmt.Sprintf(oneListed, 4, true))
-	for w.failures() == 0 {
+	(<-calls).answer(fmt.Sprintf(oneInstanceList, 4, true))
+	for d.failures() == 0 {
 	}
-	w.until(w.calling)
+	d.advanceUntil(d.callInFlight)
 	c := <-calls
 	if c.url != "/v1/endpoints" {
-		t.Errorf("then it calls %s", c.url)
+		t.Errorf("the next call is %s", c.url)
 	}
-	c.answer(fmt.Sprintf(oneListed, 4, true))
+	c.answer(fmt.Sprintf(oneInstanceList, 4, true))
 	if c := <-calls; c.url != "/v1/endpoints?after=4&wait_ms=1500" {
-		t.Errorf("at last it calls %s", c.url)
+		t.Errorf("the last call is %s", c.url)
 	}
 }
 
-// After a move, what the old address still says is void, and the new one is asked for the whole list at once.
-func TestDiscoveryMovesAtOnce(t *testing.T) {
-	address, calls := agent(t)
-	next, nextCalls := agent(t)
-	w := watch(t, address, true)
+// After a move, responses from the old address are ignored, and the full list is fetched from the new one at once.
+func TestDiscoveryMovesToNewAddressAtOnce(t *testing.T) {
+	address, calls := startAgent(t)
+	next, nextCalls := startAgent(t)
+	d := startDiscovery(t, address, true)
 	old := <-calls
-	w.loop.Post(func() { w.Move(next) })
+	d.loop.Post(func() { d.Move(next) })
 	c := <-nextCalls
 	if c.url != "/v1/endpoints" {
-		t.Errorf("the new address gets %s", c.url)
+		t.Errorf("the first call to the new address is %s", c.url)
 	}
-	old.answer(fmt.Sprintf(oneListed, 99, true))
-	c.answer(fmt.Sprintf(oneListed, 2, true))
+	old.answer(fmt.Sprintf(oneInstanceList, 99, true))
+	c.answer(fmt.Sprintf(oneInstanceList, 2, true))
 	if c := <-nextCalls; c.url != "/v1/endpoints?after=2&wait_ms=1500" {
-		t.Errorf("then it gets %s", c.url)
+		t.Errorf("the second call to the new address is %s", c.url)
 	}
-	if got := w.seen(func() int { return int(w.generation) }); got != 2 {
-		t.Errorf("generation %d, want the new address's", got)
+	if got := d.readOnLoop(func() int { return int(d.generation) }); got != 2 {
+		t.Errorf("generation %d, want that of the new address", got)
 	}
 }
 
 var _ state.Watcher = (*Discovery)(nil)
 
-// send writes a piece of an answer's body and waits until it has been read.
-func (w *watcher) send(c call, progress *callProgress, piece string) {
-	w.t.Helper()
-	sentAt := w.now.Now()
+// send writes a part of a response's body and waits until it has been read.
+func (d *testDiscovery) send(c receivedCall, progress *callProgress, piece string) {
+	d.t.Helper()
+	sentAt := d.testClock.Now()
 	fmt.Fprint(c.conn, piece)
-	for end := time.Now().Add(patience); progress.lastByte.Load() < int64(sentAt); time.Sleep(100 * time.Microsecond) {
+	for end := time.Now().Add(testTimeout); progress.lastReadAt.Load() < int64(sentAt); time.Sleep(100 * time.Microsecond) {
 		if time.Now().After(end) {
-			w.t.Fatal("a piece of the answer was never read")
+			d.t.Fatal("a part of the response was never read")
 		}
 	}
 }
 
-// inHand gives the progress of the call that is out.
-func (w *watcher) inHand() *callProgress {
+// currentProgress returns the progress of the call in progress.
+func (d *testDiscovery) currentProgress() *callProgress {
 	got := make(chan *callProgress)
-	w.loop.Post(func() { got <- w.progress })
+	d.loop.Post(func() { got <- d.progress })
 	return <-got
 }
 
-func TestLongListThatKeepsComingIsNotGivenUp(t *testing.T) {
+// A list that keeps arriving is not given up when the timeout for its first bytes has passed.
+func TestSlowListTransferDoesNotTimeOut(t *testing.T) {
 	for _, isAgent := range []bool{true, false} {
-		address, calls := agent(t)
-		w := watch(t, address, isAgent)
+		address, calls := startAgent(t)
+		d := startDiscovery(t, address, isAgent)
 		c := <-calls
-		body := fmt.Sprintf(oneListed, 9, true) + strings.Repeat(" ", 4000)
+		body := fmt.Sprintf(oneInstanceList, 9, true) + strings.Repeat(" ", 4000)
 		fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body))
-		progress := w.inHand()
-		for sent := 0; sent < len(body); sent += 1000 { // each piece comes in time, the last one after the patience
+		progress := d.currentProgress()
+		for sent := 0; sent < len(body); sent += 1000 { // each piece arrives in time, the last one after the timeout
 			piece := body[sent:min(sent+1000, len(body))]
-			w.send(c, progress, piece)
-			w.now.skipped.Add(int64(130 * time.Millisecond))
-			w.seen(func() int { return 0 })
+			d.send(c, progress, piece)
+			d.testClock.offset.Add(int64(130 * time.Millisecond))
+			d.readOnLoop(func() int { return 0 })
 		}
-		if n := w.failures(); n > 0 {
+		if n := d.failures(); n > 0 {
 			t.Errorf("agent %v: the call was given up %d times", isAgent, n)
 		}
 	}
 }
 
-func TestHalfAListThatStopsIsGivenUpAsSoonAsASilentCall(t *testing.T) {
-	address, calls := agent(t)
-	w := watch(t, address, true)
+// A list whose transfer stalls is given up as soon as a call without any response.
+func TestStalledListTransferTimesOutLikeSilentCall(t *testing.T) {
+	address, calls := startAgent(t)
+	d := startDiscovery(t, address, true)
 	c := <-calls
 	fmt.Fprint(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n")
-	w.send(c, w.inHand(), "{")
-	passed := w.until(func() bool { return w.failures() > 0 })
-	if most := firstWait + agentPatience + 50*time.Millisecond; passed > most {
-		t.Errorf("given up after %v, want %v at most", passed, most)
+	d.send(c, d.currentProgress(), "{")
+	elapsed := d.advanceUntil(func() bool { return d.failures() > 0 })
+	if limit := firstPollWait + agentTimeout + 50*time.Millisecond; elapsed > limit {
+		t.Errorf("given up after %v, want %v at most", elapsed, limit)
 	}
 }
--- a/internal/net/listener.go
+++ b/internal/net/listener.go
@@ -12,102 +12,104 @@
 )
 
 const (
-	// acceptBacklog is how many connections may wait to be accepted; the kernel cuts it to its own limit.
+	// acceptBacklog is how many connections may wait to be accepted; the kernel reduces it to its own limit.
 	acceptBacklog = 4096
-	// acceptPause is how long accepting rests after an error that a new call would only repeat, such as no descriptor.
-	acceptPause = 5 * time.Millisecond
-	// acceptLogEvery is how often such errors are logged at most.
-	acceptLogEvery = 10 * time.Second
+	// acceptRetryDelay is the pause after an error that an immediate retry would only repeat, such as lack of descriptors.
+	acceptRetryDelay = 5 * time.Millisecond
+	// acceptLogInterval is the minimum time between log lines about such errors.
+	acceptLogInterval = 10 * time.Second
 )
 
-// listener accepts connections on a goroutine of its own, in blocking calls: what came before the first call is accepted
-// like all else, with no registration in between that could miss it. Its descriptor is never closed, only shut down, so
-// that its number can't become another connection's while a call is under way.
+// listener accepts connections in blocking calls on its own goroutine: connections that arrive before the first call are
+// accepted like all others, with no registration in a poller that could miss them. Its descriptor is only shut down and
+// never closed, so that its number can't become another connection's while a call is in progress.
 type listener struct {
 	fd      int
 	address stdnet.Addr
-	most    int64 // connections that may be open
+	maxOpen int64 // maximum number of open connections
 	open    atomic.Int64
-	ended   atomic.Bool
+	stopped atomic.Bool
 
-	accepted func(fd int) // is given each connection that there is room for
-	full     func()       // lets the loop make room
-	asking   atomic.Bool  // full was called, and room not made yet
+	onAccept      func(fd int) // called with each accepted connection that there is room for
+	onFull        func()       // asks the loop to make room
+	roomRequested atomic.Bool  // onFull was called, and the loop has not made room yet
 }
 
-// bind reserves an address; nobody can connect before serve. The errors are those of the system calls.
+// bind reserves an address; nobody can connect before serve. Errors are those of the system calls.
 func bind(address string) (*listener, error) {
 	tcp, err := stdnet.ResolveTCPAddr("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	family, socketAddress := socketAddressOf(tcp)
+	family, socketAddress := sockaddr(tcp)
 	fd, err := syscall.Socket(family, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, os.NewSyscallError("socket", err)
 	}
 	syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1)
-	syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_SNDBUF, sendBuffer) // accepted sockets inherit these
+	syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_SNDBUF, sendBuffer) // accepted sockets inherit both sizes
 	syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBuffer)
 	if err := syscall.Bind(fd, socketAddress); err != nil {
 		syscall.Close(fd)
 		return nil, fmt.Errorf("listen on %s: %w", address, os.NewSyscallError("bind", err))
 	}
 	if bound, err := syscall.Getsockname(fd); err == nil {
-		tcp.Port = portOf(bound)
+		tcp.Port = sockaddrPort(bound)
 	}
 	return &listener{fd: fd, address: tcp}, nil
 }
 
-// serve lets clients connect and hands them over until end.
+// serve starts to listen, and to accept connections until stop.
 func (l *listener) serve() error {
 	if err := syscall.Listen(l.fd, acceptBacklog); err != nil {
 		return os.NewSyscallError("listen", err)
 	}
-	go l.acceptAll()
+	go l.acceptLoop()
 	return nil
 }
 
-func (l *listener) acceptAll() {
+// acceptLoop accepts connections until stop, on its own goroutine.
+func (l *listener) acceptLoop() {
 	var loggedAt time.Time
-	for !l.ended.Load() {
+	for !l.stopped.Load() {
 		fd, _, err := syscall.Accept4(l.fd, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 		switch {
 		case err == nil:
-			l.take(fd)
-		case l.ended.Load():
-		case errors.Is(err, syscall.EINTR), errors.Is(err, syscall.ECONNABORTED): // the next one may be well
+			l.admit(fd)
+		case l.stopped.Load():
+		case errors.Is(err, syscall.EINTR), errors.Is(err, syscall.ECONNABORTED): // the next call may succeed
 		default:
-			if time.Since(loggedAt) >= acceptLogEvery {
+			if time.Since(loggedAt) >= acceptLogInterval {
 				loggedAt = time.Now()
-				slog.Warn("can't accept", "error", err)
+				slog.Warn("failed to accept a connection", "error", err)
 			}
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 		}
 	}
 }
 
-// take hands a connection over. It comes ahead of the loop: of a burst of hundreds, those that there are no descriptors
-// for are closed here.
-func (l *listener) take(fd int) {
-	if l.open.Add(1) <= l.most {
-		l.accepted(fd)
+// admit hands a connection over, or closes it if too many are open. It runs ahead of the loop: connections of a large
+// burst for which there are no descriptors are closed here.
+func (l *listener) admit(fd int) {
+	if l.open.Add(1) <= l.maxOpen {
+		l.onAccept(fd)
 		return
 	}
 	l.open.Add(-1)
 	syscall.Close(fd)
-	if !l.asking.Swap(true) { // who is closed here can't make room by coming
-		l.full()
+	if !l.roomRequested.Swap(true) { // a connection closed here never reaches the loop, which would make room
+		l.onFull()
 	}
 }
 
-// end refuses further connections. The call in hand returns.
-func (l *listener) end() {
-	l.ended.Store(true)
+// stop refuses further connections and unblocks the accept call in progress.
+func (l *listener) stop() {
+	l.stopped.Store(true)
 	syscall.Shutdown(l.fd, syscall.SHUT_RD)
 }
 
-func socketAddressOf(tcp *stdnet.TCPAddr) (family int, address syscall.Sockaddr) {
+// sockaddr converts a TCP address to its socket address family and address.
+func sockaddr(tcp *stdnet.TCPAddr) (family int, address syscall.Sockaddr) {
 	if tcp.IP == nil || tcp.IP.To4() != nil {
 		v4 := &syscall.SockaddrInet4{Port: tcp.Port}
 		copy(v4.Addr[:], tcp.IP.To4())
@@ -118,7 +120,8 @@
 	return syscall.AF_INET6, v6
 }
 
-func portOf(address syscall.Sockaddr) int {
+// sockaddrPort returns the port of a socket address, or 0 if it has none.
+func sockaddrPort(address syscall.Sockaddr) int {
 	switch a := address.(type) {
 	case *syscall.SockaddrInet4:
 		return a.Port
--- a/internal/net/loop.go
+++ b/internal/net/loop.go
@@ -1,5 +1,5 @@
 // Package net serves the proxy's sockets: the listener, clients, databases and discovery. Each connection is an
-// object with callbacks, which all run on one goroutine, the loop's; nothing here decides anything.
+// object whose callbacks all run on one goroutine, the loop's. The package makes no routing decisions.
 package net
 
 import (
@@ -13,37 +13,37 @@
 	"havenproxy/internal/state"
 )
 
-// Loop is the goroutine that owns the router and all connections' state. netpoll's poller reads the sockets and
-// hands its callbacks over, so that they come one at a time.
+// Loop is the event loop, the goroutine that owns the router and the state of all connections. netpoll's pollers read
+// the sockets and post their callbacks to the loop, where they run one at a time.
 type Loop struct {
 	clock     state.Clock
 	deadlines *state.Deadlines
-	held      holdWatch
+	stalls    stallMonitor
 
-	mu    sync.Mutex
-	queue []func()
-	wake  chan struct{}
-	stop  bool
+	mu      sync.Mutex
+	queue   []func()
+	wake    chan struct{}
+	stopped bool
 }
 
-// netpoll has one runner for all its connections and reads it from its pollers, so it is set once, before there are
-// any; the loop that it posts to is the newest.
+// netpoll has one global runner, which its pollers read, so it is set once, before there are any connections. It posts
+// to the loop that was created last.
 var (
-	setRunner sync.Once
-	newest    atomic.Pointer[Loop]
+	setRunnerOnce sync.Once
+	currentLoop   atomic.Pointer[Loop]
 )
 
-// NewLoop makes a loop and lets netpoll run its callbacks there.
+// NewLoop returns a loop on which netpoll runs its callbacks from now on.
 func NewLoop(clock state.Clock, deadlines *state.Deadlines, counters *state.Counters) *Loop {
-	l := &Loop{clock: clock, deadlines: deadlines, held: holdWatch{counters: counters}, wake: make(chan struct{}, 1)}
-	newest.Store(l)
-	setRunner.Do(func() {
-		netpoll.SetRunner(func(_ context.Context, f func()) { newest.Load().Post(f) })
+	l := &Loop{clock: clock, deadlines: deadlines, stalls: stallMonitor{counters: counters}, wake: make(chan struct{}, 1)}
+	currentLoop.Store(l)
+	setRunnerOnce.Do(func() {
+		netpoll.SetRunner(func(_ context.Context, f func()) { currentLoop.Load().Post(f) })
 	})
 	return l
 }
 
-// Post lets f run on the loop, from any goroutine.
+// Post queues f to run on the loop. It may be called from any goroutine.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	l.queue = append(l.queue, f)
@@ -58,7 +58,7 @@
 func (l *Loop) Run() {
 	timer := time.NewTimer(time.Hour)
 	var work []func()
-	for !l.stop {
+	for !l.stopped {
 		l.mu.Lock()
 		work, l.queue = l.queue, work[:0]
 		l.mu.Unlock()
@@ -68,8 +68,8 @@
 			work[i] = nil
 		}
 		l.deadlines.Run(l.clock.Now())
-		l.held.round(begin, l.clock.Now(), len(work))
-		if l.stop || len(work) > 0 {
+		l.stalls.record(begin, l.clock.Now(), len(work))
+		if l.stopped || len(work) > 0 {
 			continue
 		}
 		if at, ok := l.deadlines.Next(); ok {
@@ -82,17 +82,16 @@
 	}
 }
 
-// Stop ends Run; it is called on the loop.
-func (l *Loop) Stop() { l.stop = true }
+// Stop ends Run. It must be called on the loop.
+func (l *Loop) Stop() { l.stopped = true }
 
-// buffer is the one buffer of a connection for what comes in. It grows as it needs; what is left behind the
-// messages taken out moves to its front.
+// buffer is the input buffer of a connection. It grows as needed; bytes that remain after a discard move to its front.
 type buffer struct{ bytes []byte }
 
-// keepRoom is the room that a connection keeps between messages.
-const keepRoom = 16 << 10
+// maxIdleCapacity is the largest buffer in bytes that a connection keeps while it is empty.
+const maxIdleCapacity = 16 << 10
 
-// fill takes all that netpoll has read.
+// fill appends everything that netpoll has read.
 func (b *buffer) fill(r netpoll.Reader) error {
 	n := r.Len()
 	in, err := r.Next(n)
@@ -103,11 +102,11 @@
 	return r.Release()
 }
 
-// cut drops the first n bytes.
-func (b *buffer) cut(n int) {
+// discard drops the first n bytes.
+func (b *buffer) discard(n int) {
 	left := copy(b.bytes, b.bytes[n:])
 	b.bytes = b.bytes[:left]
-	if left == 0 && cap(b.bytes) > keepRoom {
+	if left == 0 && cap(b.bytes) > maxIdleCapacity {
 		b.bytes = nil
 	}
 }
--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -12,194 +12,201 @@
 )
 
 const (
-	writePatience = 20 * time.Millisecond // a client whose buffer stays full for so long doesn't read
-	keepAlive     = time.Minute           // after which the kernel asks whether a silent client is still there
-	sendBuffer    = 256 << 10             // the kernel's, room for several of the largest answers
-	// Likewise for what comes in. netpoll reads all of it at a time, ahead of the loop: who sends at full speed
-	// must not make it hold megabytes.
+	writeTimeout      = 20 * time.Millisecond // a client whose send buffer stays full for longer doesn't read
+	keepAliveInterval = time.Minute           // idle time after which the kernel sends keepalive probes to a client
+	sendBuffer        = 256 << 10             // bytes in the kernel, room for several of the largest responses
+	// Limits the input that the kernel buffers. netpoll reads all of it at once, ahead of the loop: a peer that sends
+	// at full speed must not make it hold megabytes.
 	receiveBuffer = 128 << 10
 
-	// For want of room the clients that use theirs for nothing are closed: first those that have said nothing for a
-	// time in which others ask and are answered, also where they are over one in silentPart, then those without an
-	// open request. The operators allow that after two seconds.
-	silentFor  = 250 * time.Millisecond
-	silentPart = 4
-	idleFor    = 2 * time.Second
-	easyPart   = 3 // beyond one in so many of the places, idle clients are closed before there is need
-
-	tellCrowded   = 10 * time.Second // no more than one line about it
-	clientsToTell = 3                // the first clients after a start are logged
+	// To make room, clients that don't use their connection are closed: first those that have sent no query for
+	// silentTimeout, in which others send queries and get responses, then those without an open request for idleTimeout,
+	// which the operators allow after two seconds. Silent clients are also closed where they are more than one in
+	// silentDivisor of the maximum.
+	silentTimeout    = 250 * time.Millisecond
+	silentDivisor    = 4
+	idleTimeout      = 2 * time.Second
+	idleLimitDivisor = 3 // above one in this many of the maximum, idle clients are closed in advance
+
+	fullLogInterval  = 10 * time.Second // minimum time between log lines about too many clients
+	maxLoggedClients = 3                // the first connections after a start are logged
 )
 
-// Server serves clients.
+// Server accepts clients and takes their queries.
 type Server struct {
-	loop      *Loop
-	clock     state.Clock
-	deadlines *state.Deadlines
-	front     *state.Front
-	listener  *listener
-	listening bool
-
-	clients     map[*client]struct{}
-	silent      list.List // those that have sent no whole query yet, the oldest first
-	idle        list.List // those that are owed nothing, idle for longest first
-	ending      list.List // those that are told the end and have not closed yet
-	buffered    int       // bytes that wait in clients' buffers for the rest of their query
-	maxBuffered int       // beyond that, who holds more than a little is told to come again
-	maxClients  int
-	easy        int // beyond these, idle ones are closed in time
-	maxExcess   int // further ones that are told to come again
-	excess      int
-	easing      state.Deadline
-	crowdedAt   time.Duration // when it was last told that there are too many
-	draining    bool
+	loop       *Loop
+	clock      state.Clock
+	deadlines  *state.Deadlines
+	dispatcher *state.Front
+	listener   *listener
+	listening  bool
+
+	clients          map[*client]struct{}
+	silent           list.List // no complete query yet, oldest first
+	idle             list.List // no response due, idle for longest first
+	closing          list.List // write side closed, waiting for the client to close
+	bufferedBytes    int       // input of all clients that is not processed yet
+	maxBufferedBytes int       // above it, a client that holds more than a little is turned away
+	maxClients       int
+	idleLimit        int // number of clients above which idle ones are closed in advance
+	maxExcess        int // clients above maxClients that are turned away with an error
+	excessClients    int
+	idleTimer        state.Deadline
+	fullLoggedAt     time.Duration // when too many clients were last logged
+	draining         bool
 }
 
-// NewServer makes a server for at most so many clients, whose half-sent queries may hold so many bytes; a few more
-// clients are turned away with an answer.
-func NewServer(loop *Loop, clock state.Clock, front *state.Front, maxClients, maxExcess, maxBuffered int) *Server {
-	return &Server{loop: loop, clock: clock, deadlines: &front.Deadlines, front: front,
-		clients: map[*client]struct{}{}, maxClients: maxClients, easy: maxClients / easyPart, maxExcess: maxExcess, maxBuffered: maxBuffered}
+// NewServer returns a server for at most maxClients clients, whose partial queries may occupy maxBufferedBytes. Up to
+// maxExcess further clients are turned away with an error.
+func NewServer(loop *Loop, clock state.Clock, dispatcher *state.Front, maxClients, maxExcess, maxBufferedBytes int) *Server {
+	return &Server{loop: loop, clock: clock, deadlines: &dispatcher.Deadlines, dispatcher: dispatcher,
+		clients: map[*client]struct{}{}, maxClients: maxClients, idleLimit: maxClients / idleLimitDivisor,
+		maxExcess: maxExcess, maxBufferedBytes: maxBufferedBytes}
 }
 
-// Bind reserves the address. Clients are refused until Listen.
-func (s *Server) Bind(address string) error {
+// Bind reserves the address. Connections are refused until Listen.
+func (server *Server) Bind(address string) error {
 	l, err := bind(address)
 	if err != nil {
 		return err
 	}
-	l.most = int64(s.maxClients + s.maxExcess)
-	l.accepted = func(fd int) { s.loop.Post(func() { s.accept(fd) }) }
-	l.full = func() {
-		s.loop.Post(func() {
-			l.asking.Store(false)
-			s.makeRoom()
+	l.maxOpen = int64(server.maxClients + server.maxExcess)
+	l.onAccept = func(fd int) { server.loop.Post(func() { server.accept(fd) }) }
+	l.onFull = func() {
+		server.loop.Post(func() {
+			l.roomRequested.Store(false)
+			server.makeRoom()
 		})
 	}
-	s.listener = l
+	server.listener = l
 	return nil
 }
 
-// Listen starts to take clients, unless that has been ended already.
-func (s *Server) Listen() error {
-	if s.listening || s.listener.ended.Load() {
+// Listen starts to accept clients, unless EndListening has been called already.
+func (server *Server) Listen() error {
+	if server.listening || server.listener.stopped.Load() {
 		return nil
 	}
-	s.listening = true
-	return s.listener.serve()
+	server.listening = true
+	return server.listener.serve()
 }
 
-// Address tells where it listens.
-func (s *Server) Address() string { return s.listener.address.String() }
+// Address returns the address that the server listens on.
+func (server *Server) Address() string { return server.listener.address.String() }
 
-// accept makes the client of a new connection, before anything that it has sent is read.
-func (s *Server) accept(fd int) {
+// accept creates the client of a new connection, before any of its input is read.
+func (server *Server) accept(fd int) {
 	conn, err := netpoll.NewFDConnection(fd)
 	if err != nil {
-		s.listener.open.Add(-1)
-		slog.Warn("can't serve a connection", "error", err)
+		server.listener.open.Add(-1)
+		slog.Warn("failed to set up a client connection", "error", err)
 		return
 	}
 	setClientOptions(fd)
-	conn.SetWriteTimeout(writePatience)
-	c := &client{s: s, conn: conn, fd: descriptorOf(conn)}
-	if s.front.Counters.Clients++; s.front.Counters.Clients <= clientsToTell {
-		slog.Info("client connected", "number", s.front.Counters.Clients)
+	conn.SetWriteTimeout(writeTimeout)
+	c := &client{server: server, conn: conn, fd: newDescriptor(conn)}
+	if server.dispatcher.Counters.Clients++; server.dispatcher.Counters.Clients <= maxLoggedClients {
+		slog.Info("client connected", "number", server.dispatcher.Counters.Clients)
 	}
-	s.makeRoom()
-	if c.full = s.crowded(); c.full {
-		s.excess++
-		if now := s.clock.Now(); s.crowdedAt == 0 || now-s.crowdedAt >= tellCrowded {
-			s.crowdedAt = now
-			slog.Warn("too many clients: further ones are turned away", "clients", len(s.clients))
+	server.makeRoom()
+	if c.excess = server.atCapacity(); c.excess {
+		server.excessClients++
+		if now := server.clock.Now(); server.fullLoggedAt == 0 || now-server.fullLoggedAt >= fullLogInterval {
+			server.fullLoggedAt = now
+			slog.Warn("too many clients, turning new ones away", "clients", len(server.clients))
 		}
 	}
-	s.clients[c] = struct{}{}
-	c.settle()
-	s.ease()
+	server.clients[c] = struct{}{}
+	c.updateEvictionList()
+	server.closeIdleClients()
 	conn.AddCloseCallback(func(netpoll.Connection) error {
-		s.listener.open.Add(-1)
+		server.listener.open.Add(-1)
 		return nil
 	})
-	s.deadlines.Set(&c.timer, s.clock.Now()+queryPatience, c.tooSlow)
-	attach(s.loop, conn, c.readable, c.closed)
-	if s.excess > s.maxExcess { // not even a descriptor for an answer
-		c.hangUp()
+	server.deadlines.Set(&c.timer, server.clock.Now()+queryTimeout, c.queryTimedOut)
+	setCallbacks(server.loop, conn, c.onReadable, c.onClosed)
+	if server.excessClients > server.maxExcess { // no descriptor left, even to send an error
+		c.close()
 	}
 }
 
-// setClientOptions has small answers sent at once, and the kernel ask whether a silent client is still there.
+// setClientOptions disables Nagle's algorithm, so that small responses are sent at once, and enables TCP keepalive.
 func setClientOptions(fd int) {
 	syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1)
 	syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_KEEPALIVE, 1)
 	for _, option := range []int{syscall.TCP_KEEPIDLE, syscall.TCP_KEEPINTVL} {
-		syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, option, int(keepAlive/time.Second))
+		syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, option, int(keepAliveInterval/time.Second))
 	}
 }
 
-func (s *Server) crowded() bool { return len(s.clients)-s.excess >= s.maxClients }
+// atCapacity reports whether the maximum number of clients is connected.
+func (server *Server) atCapacity() bool {
+	return len(server.clients)-server.excessClients >= server.maxClients
+}
 
-// makeRoom closes clients that use their place for nothing, as long as there is no room for another.
-func (s *Server) makeRoom() {
-	now := s.clock.Now()
+// makeRoom closes clients that don't use their connection, as long as there is no room for another one.
+func (server *Server) makeRoom() {
+	now := server.clock.Now()
 	for {
-		e := s.silent.Front()
-		full := s.crowded() || len(s.clients) >= s.maxClients+s.maxExcess
-		if ending := s.ending.Front(); full && ending != nil {
-			ending.Value.(*client).hangUp()
+		e := server.silent.Front()
+		full := server.atCapacity() || len(server.clients) >= server.maxClients+server.maxExcess
+		if closing := server.closing.Front(); full && closing != nil {
+			closing.Value.(*client).close()
 			continue
 		}
-		if manySilent := s.silent.Len() > s.maxClients/silentPart; !manySilent && !full {
+		if manySilent := server.silent.Len() > server.maxClients/silentDivisor; !manySilent && !full {
 			return
-		} else if e == nil || !manySilent && now-e.Value.(*client).since < silentFor {
-			if e = s.idle.Front(); e == nil || now-e.Value.(*client).since < idleFor {
+		} else if e == nil || !manySilent && now-e.Value.(*client).listedSince < silentTimeout {
+			if e = server.idle.Front(); e == nil || now-e.Value.(*client).listedSince < idleTimeout {
 				return
 			}
 		}
-		s.closeFor(e.Value.(*client))
+		server.evict(e.Value.(*client))
 	}
 }
 
-// ease closes clients that are idle for long where many are connected. The place that one holds may be one of those
-// that others need: what stands before the proxies opens no more than a share of its descriptors.
-func (s *Server) ease() {
-	now := s.clock.Now()
-	for e := s.idle.Front(); e != nil && len(s.clients) > s.easy; e = s.idle.Front() {
+// closeIdleClients closes clients that have been idle for idleTimeout while more than idleLimit clients are connected.
+// Their descriptors may be needed by other clients: a load balancer in front of the proxies opens no more than a share
+// of its descriptors.
+func (server *Server) closeIdleClients() {
+	now := server.clock.Now()
+	for e := server.idle.Front(); e != nil && len(server.clients) > server.idleLimit; e = server.idle.Front() {
 		c := e.Value.(*client)
-		if due := c.since + idleFor; due > now {
-			s.deadlines.Set(&s.easing, due, s.ease)
+		if due := c.listedSince + idleTimeout; due > now {
+			server.deadlines.Set(&server.idleTimer, due, server.closeIdleClients)
 			return
 		}
-		s.closeFor(c)
+		server.evict(c)
 	}
 }
 
-// closeFor closes a client for others. One that has spoken, which the loop has yet to see, is none of the silent or idle
-// ones any more: settle puts it where it belongs once it is read. Left in its list, it would be looked at for ever.
-func (s *Server) closeFor(c *client) {
-	if !c.quiet() {
-		c.unlist()
+// evict closes a client to make room for others. A client with input that the loop has not seen is neither silent nor
+// idle any more, so it is only removed from its list; updateEvictionList adds it to the right one once its input is
+// read. If it stayed in the list, makeRoom would examine it forever.
+func (server *Server) evict(c *client) {
+	if !c.allInputSeen() {
+		c.leaveEvictionList()
 		return
 	}
-	s.front.Counters.MadeRoom++
-	c.hangUp()
+	server.dispatcher.Counters.MadeRoom++
+	c.close()
 }
 
-// EndListening takes no further clients; those that are connected are served as before.
-func (s *Server) EndListening() { s.listener.end() }
+// EndListening accepts no further clients. Connected clients are served as before.
+func (server *Server) EndListening() { server.listener.stop() }
 
-// Drain ends the listener too; clients are closed as soon as they are owed nothing.
-func (s *Server) Drain() {
-	s.draining = true
-	s.EndListening()
+// Drain ends the listener and has clients closed as soon as they await no response.
+func (server *Server) Drain() {
+	server.draining = true
+	server.EndListening()
 }
 
-// Drained ends the clients that are owed nothing, last also those with half a query, and tells whether none is left.
-// What has come and the loop has not yet looked at is owed an answer too, and those that are told the end have some time
-// to close, so it is to be asked again until then.
-func (s *Server) Drained(last bool) bool {
-	for c := range s.clients {
-		c.closeIdle(last)
+// Drained closes the clients that await no response, with last set also those with a partial query, and reports whether
+// none is left. Input that the loop has not seen yet is answered too, and clients that are closing have some time to do
+// so; call Drained again until it returns true.
+func (server *Server) Drained(last bool) bool {
+	for c := range server.clients {
+		c.closeIfIdle(last)
 	}
-	return len(s.clients) == 0
+	return len(server.clients) == 0
 }
