--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -80,16 +80,16 @@
 		return
 	}
 	switch e.Kind {
-	case sim.Members:
-		r.Members(now, e.List)
+	case sim.MemberList:
+		r.MemberList(now, e.List)
 	case sim.Submit:
 		r.Request(now, e.Request)
 	case sim.Head:
-		r.Started(now, e.ID, e.Attempt)
+		r.AnswerStarted(now, e.ID, e.Attempt)
 	case sim.Outcome:
 		r.Outcome(now, e.Outcome)
-	case sim.Probed:
-		r.Probed(now, e.Probed)
+	case sim.ProbeResult:
+		r.ProbeResult(now, e.ProbeResult)
 	case sim.Timer:
 		r.Timer(now, e.Timer)
 	case sim.Abandoned:
--- a/internal/net/client.go
+++ b/internal/net/client.go
@@ -243,8 +243,8 @@
 func (resp *pendingResponse) Served(body []byte) { resp.complete(pg.AppendServed(nil, body)) }
 
 // Refused implements state.Caller.
-func (resp *pendingResponse) Refused(comeBack time.Duration) {
-	resp.complete(pg.AppendRefused(nil, comeBack))
+func (resp *pendingResponse) Refused(retryAfter time.Duration) {
+	resp.complete(pg.AppendRefused(nil, retryAfter))
 }
 
 // Failed implements state.Caller.
--- a/internal/net/discovery.go
+++ b/internal/net/discovery.go
@@ -244,7 +244,7 @@
 			s = logic.Gone
 		}
 		out.Entries = append(out.Entries, state.Entry{Name: e.ID, Address: e.Address, Zone: e.Zone, Group: e.Group,
-			State: s, Size: e.Weight, Started: time.Duration(e.StartedMs) * time.Millisecond})
+			State: s, Weight: e.Weight, Started: time.Duration(e.StartedMs) * time.Millisecond})
 	}
 	return out
 }
--- a/internal/net/discovery_test.go
+++ b/internal/net/discovery_test.go
@@ -72,7 +72,7 @@
 	t.Helper()
 	clock := &adjustableClock{SystemClock: state.NewClock()}
 	cfg := testConfig
-	cfg.Pull, cfg.Agent = true, isAgent
+	cfg.ListOnRequest, cfg.LocalAgent = true, isAgent
 	dispatcher, err := state.New(state.Config{Logic: cfg, MaxConnections: 1, ConnectTimeout: testTimeout},
 		clock, &Databases{})
 	if err != nil {
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -23,7 +23,8 @@
 const testTimeout = 20 * time.Second
 
 var testConfig = logic.Config{Tick: time.Millisecond, Classes: []logic.Class{
-	{Name: "any", Read: logic.Any, Aim: 10 * time.Second, Limit: 20 * time.Second}}}
+	{Name: "any", RequiredFreshness: logic.FreshnessAny, TargetLatency: 10 * time.Second,
+		ClientTimeout: 20 * time.Second}}}
 
 // noopWatcher is a state.Watcher that does nothing.
 type noopWatcher struct{}
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -100,7 +100,7 @@
 	server     *net.Server
 	discovery  *net.Discovery
 
-	longestDeadline time.Duration // the longest hard limit of a request class, at most longestDeadlineCap
+	longestDeadline time.Duration // the longest ClientTimeout of a request class, at most longestDeadlineCap
 	stopping        bool
 	fatalErr        error          // the error that stopped the loop, or nil
 	listenTimer     state.Deadline // runs while the listener waits for discovery
@@ -134,7 +134,7 @@
 	}
 	// "pushed" means that the simulator pushes changes to the router. A real proxy has an agent on its machine instead,
 	// which answers only when asked: without a watch the proxy would keep the list it started with for good.
-	deployment.Config.Agent, deployment.Config.Pull = !deployment.Config.Pull, true
+	deployment.Config.LocalAgent, deployment.Config.ListOnRequest = !deployment.Config.ListOnRequest, true
 	p := &proxy{clock: state.NewClock()}
 	databases := &net.Databases{ConnectTimeout: deployment.ConnectTimeout}
 	var err error
@@ -145,7 +145,7 @@
 		return nil, err
 	}
 	for _, c := range deployment.Config.Classes {
-		p.longestDeadline = min(max(p.longestDeadline, c.Limit), longestDeadlineCap)
+		p.longestDeadline = min(max(p.longestDeadline, c.ClientTimeout), longestDeadlineCap)
 	}
 	p.loop = net.NewLoop(p.clock, &p.dispatcher.Deadlines, &p.dispatcher.Counters)
 	databases.Loop, databases.Counters = p.loop, &p.dispatcher.Counters
@@ -158,7 +158,7 @@
 		return nil, err
 	}
 	p.discovery = net.NewDiscovery(p.loop, p.clock, p.dispatcher, cfg.Discovery, cfg.Known.Generation,
-		deployment.Config.Agent)
+		deployment.Config.LocalAgent)
 	p.loop.Post(func() { p.startServing(net.ListOf(cfg.Known)) })
 	return p, nil
 }
--- a/internal/state/benchmark_test.go
+++ b/internal/state/benchmark_test.go
@@ -25,8 +25,9 @@
 // newFleetDispatcher returns a started Front with a real router and the given number of databases, six in each group.
 func newFleetDispatcher(b *testing.B, databases int) *Front {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
-	f, err := New(Config{Logic: logic.Config{Tick: 5 * time.Millisecond, Fronts: 300, MayProbe: true,
-		Classes: []logic.Class{{Name: "any", Read: logic.Any, Aim: time.Second, Limit: 2 * time.Second}}},
+	f, err := New(Config{Logic: logic.Config{Tick: 5 * time.Millisecond, Proxies: 300, MayProbe: true,
+		Classes: []logic.Class{{Name: "any", RequiredFreshness: logic.FreshnessAny, TargetLatency: time.Second,
+			ClientTimeout: 2 * time.Second}}},
 		ConnectTimeout: 250 * time.Millisecond, MaxConnections: 400}, NewClock(), stuckOpener{})
 	if err != nil {
 		b.Fatal(err)
@@ -41,7 +42,7 @@
 
 // fleetMember returns the list entry of database i.
 func fleetMember(i int, state logic.MemberState) Entry {
-	return Entry{Name: fmt.Sprintf("s-%08x", i), Address: "127.0.0.1:1", Group: i / 6, State: state, Size: 1}
+	return Entry{Name: fmt.Sprintf("s-%08x", i), Address: "127.0.0.1:1", Group: i / 6, State: state, Weight: 1}
 }
 
 // BenchmarkListOfThreeChanges measures applying a change of three databases to fleets of different sizes.
--- a/internal/state/connections.go
+++ b/internal/state/connections.go
@@ -103,7 +103,7 @@
 	}
 	c := f.openConnection(m)
 	if c == nil { // the limit is this proxy's own and says nothing about the member
-		f.abortAttempt(a, Reply{Result: logic.Moot})
+		f.abortAttempt(a, Reply{Result: logic.NotSent})
 		return
 	}
 	c.attempt, a.connection = a, c
@@ -165,14 +165,14 @@
 	return true
 }
 
-// writeAttempt sends an attempt on an established connection. An attempt that is too late to be sent ends as moot,
+// writeAttempt sends an attempt on an established connection. An attempt that is too late to be sent ends as NotSent,
 // and the connection is released.
 func (f *Front) writeAttempt(c *connection, a *attempt) {
 	f.Deadlines.Clear(&c.Deadline)
 	if a.sendBy > 0 && f.clock.Now() > a.sendBy {
 		c.attempt, a.connection = nil, nil
 		f.releaseConnection(c)
-		f.attemptEnded(a, Reply{Result: logic.Moot})
+		f.attemptEnded(a, Reply{Result: logic.NotSent})
 		return
 	}
 	c.state, c.attempt, a.connection = connectionBusy, a, c
@@ -349,7 +349,7 @@
 
 // reportProbeNotSent tells the router that no probe was sent, which says nothing about the member.
 func (f *Front) reportProbeNotSent(to logic.MemberID) {
-	f.notifyRouter(func() { f.router.Probed(f.clock.Now(), logic.Probed{Member: to, Result: logic.Moot}) })
+	f.notifyRouter(func() { f.router.ProbeResult(f.clock.Now(), logic.ProbeResult{Member: to, Result: logic.NotSent}) })
 }
 
 // writeProbe sends a probe on an established connection and sets its timeout.
@@ -367,8 +367,8 @@
 		f.Counters.ProbesOK++
 	}
 	m.recordReply(r, true)
-	p := logic.Probed{Member: m.id, Result: r.Result, Took: took, Report: f.loadReport(r)}
-	f.notifyRouter(func() { f.router.Probed(f.clock.Now(), p) })
+	p := logic.ProbeResult{Member: m.id, Result: r.Result, Took: took, Report: f.loadReport(r)}
+	f.notifyRouter(func() { f.router.ProbeResult(f.clock.Now(), p) })
 }
 
 // loadReport converts the load report of an answer to the router's terms.
--- a/internal/state/counters.go
+++ b/internal/state/counters.go
@@ -47,13 +47,13 @@
 }
 
 // countRefusal counts a refusal by its reason.
-func (c *Counters) countRefusal(why logic.Refusal) {
-	switch why {
+func (c *Counters) countRefusal(reason logic.Refusal) {
+	switch reason {
 	case logic.RefusedNoTime:
 		c.NoTime++
 	case logic.RefusedNoPrimary:
 		c.NoPrimary++
-	case logic.RefusedCrowded:
+	case logic.RefusedOverload:
 		c.Crowded++
 	}
 }
--- a/internal/state/dispatcher.go
+++ b/internal/state/dispatcher.go
@@ -21,9 +21,9 @@
 // Caller receives the answer to one request. Exactly one of its methods is called, once, unless the request is
 // abandoned first.
 type Caller interface {
-	Served(body []byte)             // the answer of a database, valid during the call only
-	Refused(comeBack time.Duration) // the request may be retried safely, best after comeBack
-	Failed()                        // the request may or may not have run
+	Served(body []byte)               // the answer of a database, valid during the call only
+	Refused(retryAfter time.Duration) // the request may be retried safely, best after retryAfter
+	Failed()                          // the request may or may not have run
 }
 
 // Command is the encoded form of a request.
@@ -216,10 +216,10 @@
 		answerDeadline: f.answerDeadline(in.Wait), command: in.Command, responder: in.Caller}
 	f.requests[q.id] = q
 	out := logic.Request{ID: q.id, Class: class, Group: logic.GroupID(in.Group), Deadline: q.answerDeadline, Retry: in.Retry}
-	switch f.cfg.Logic.Classes[class].Read { // in other classes, Session is not the key of a session
-	case logic.Session:
+	switch f.cfg.Logic.Classes[class].RequiredFreshness { // in other classes, Session is not the key of a session
+	case logic.FreshnessSession:
 		out.Session, out.TokenAge = logic.SessionID(in.Session), tokenAge(f.clock, in.After)
-	case logic.Write:
+	case logic.FreshnessWrite:
 		out.Session = logic.SessionID(in.Session)
 	}
 	f.notifyRouter(func() { f.router.Request(f.clock.Now(), out) })
@@ -268,9 +268,9 @@
 }
 
 // Refuse implements logic.Actions.
-func (f *Front) Refuse(id logic.RequestID, comeBack time.Duration, why logic.Refusal) {
-	f.Counters.countRefusal(why)
-	f.answer(id, &f.Counters.Refused, "refused", refusalNames[why], func(c Caller) { c.Refused(comeBack) })
+func (f *Front) Refuse(id logic.RequestID, retryAfter time.Duration, reason logic.Refusal) {
+	f.Counters.countRefusal(reason)
+	f.answer(id, &f.Counters.Refused, "refused", refusalNames[reason], func(c Caller) { c.Refused(retryAfter) })
 }
 
 // Fail implements logic.Actions.
@@ -290,7 +290,7 @@
 	if m == nil || q.responder == nil || q.openAttempt != nil || f.shutdownAt > 0 && now >= f.shutdownAt {
 		f.notifyRouter(func() {
 			f.router.Outcome(f.clock.Now(), logic.Outcome{Request: id, Attempt: a.number, Member: target,
-				Result: logic.Moot, Finished: q.responder == nil})
+				Result: logic.NotSent, Answered: q.responder == nil})
 		})
 		return
 	}
@@ -329,7 +329,7 @@
 // cancelUnsentAttempt ends an attempt that still waits for its connection, so that it is never sent.
 func (f *Front) cancelUnsentAttempt(a *attempt) {
 	if !a.written {
-		f.abortAttempt(a, Reply{Result: logic.Moot})
+		f.abortAttempt(a, Reply{Result: logic.NotSent})
 	}
 }
 
@@ -359,8 +359,8 @@
 	}
 	now := f.clock.Now()
 	o := logic.Outcome{Request: q.id, Attempt: a.number, Member: a.target.id, Result: r.Result, Took: now - a.startedAt,
-		Finished: q.responder == nil, Role: r.Role, Position: fromUnix(f.clock, time.Duration(r.Position)*time.Millisecond),
-		Load: f.loadReport(r)}
+		Answered: q.responder == nil, Role: r.Role, Position: fromUnix(f.clock, time.Duration(r.Position)*time.Millisecond),
+		LoadReport: f.loadReport(r)}
 	f.removeIfFinished(q)
 	f.notifyRouter(func() { f.router.Outcome(f.clock.Now(), o) })
 }
--- a/internal/state/dispatcher_test.go
+++ b/internal/state/dispatcher_test.go
@@ -18,7 +18,7 @@
 	now         time.Duration
 	conns       []*fakeConn
 	received    []string // router events since the last check
-	lastProbe   logic.Probed
+	lastProbe   logic.ProbeResult
 	lastOutcome logic.Outcome
 	lastList    logic.List
 	lastRequest logic.Request
@@ -38,7 +38,7 @@
 	h.received = append(h.received, fmt.Sprintf(format, args...))
 }
 
-func (h *harness) Members(_ time.Duration, l logic.List) { h.lastList = l; h.record("members") }
+func (h *harness) MemberList(_ time.Duration, l logic.List) { h.lastList = l; h.record("member list") }
 func (h *harness) Request(_ time.Duration, q logic.Request) {
 	h.record("request")
 	h.depth++
@@ -47,14 +47,14 @@
 	}
 	h.depth--
 }
-func (h *harness) Started(time.Duration, logic.RequestID, int) {}
+func (h *harness) AnswerStarted(time.Duration, logic.RequestID, int) {}
 func (h *harness) Outcome(_ time.Duration, o logic.Outcome) {
 	h.lastOutcome = o
-	h.record("outcome %d finished=%v", o.Result, o.Finished)
+	h.record("outcome %d answered=%v", o.Result, o.Answered)
 }
-func (h *harness) Probed(_ time.Duration, p logic.Probed) {
+func (h *harness) ProbeResult(_ time.Duration, p logic.ProbeResult) {
 	h.lastProbe = p
-	h.record("probed %d", p.Result)
+	h.record("probe result %d", p.Result)
 }
 func (h *harness) Timer(time.Duration, logic.TimerID)       { h.record("timer") }
 func (h *harness) Abandoned(time.Duration, logic.RequestID) { h.record("abandoned") }
@@ -102,11 +102,12 @@
 
 func newHarness(t *testing.T, connections int) *harness {
 	h := &harness{t: t, now: clockBase}
-	class := func(name string, read logic.Freshness) logic.Class {
-		return logic.Class{Name: name, Read: read, MaxAge: time.Second, Aim: time.Second, Limit: 2 * time.Second}
+	class := func(name string, freshness logic.Freshness) logic.Class {
+		return logic.Class{Name: name, RequiredFreshness: freshness, MaxAge: time.Second,
+			TargetLatency: time.Second, ClientTimeout: 2 * time.Second}
 	}
 	dispatcher, err := New(Config{Logic: logic.Config{Tick: time.Millisecond,
-		Classes: []logic.Class{class("any", logic.Any), class("session", logic.Session)}},
+		Classes: []logic.Class{class("any", logic.FreshnessAny), class("session", logic.FreshnessSession)}},
 		Zones: []string{"x", "y"}, IdleClose: 10 * time.Second,
 		ConnectTimeout: 250 * time.Millisecond, MaxConnections: connections}, h, h)
 	if err != nil {
@@ -147,8 +148,8 @@
 }
 
 // outcome returns the event that record notes for an outcome.
-func outcome(r logic.Result, finished bool) string {
-	return fmt.Sprintf("outcome %d finished=%v", r, finished)
+func outcome(r logic.Result, answered bool) string {
+	return fmt.Sprintf("outcome %d answered=%v", r, answered)
 }
 
 func TestRequestIsAnsweredOnceAndConnectionIsReused(t *testing.T) {
@@ -156,7 +157,7 @@
 	id := h.submit(c)
 	h.conns[0].listener.Up()
 	h.conns[0].listener.Reply(Reply{Result: logic.OK, Body: []byte("v"), Role: logic.RoleReplica, Position: 1767225600000})
-	h.dispatcher.Refuse(id, time.Second, logic.RefusedCrowded) // ignored: the request was answered
+	h.dispatcher.Refuse(id, time.Second, logic.RefusedOverload) // ignored: the request was answered
 	h.dispatcher.Fail(id)
 	c.want(t, "served v")
 	h.want("request", outcome(logic.OK, true))
@@ -229,7 +230,7 @@
 	h.dispatcher.Probe(h.id("two"))
 	h.conns[3].listener.Up()
 	h.conns[3].listener.Spoilt()
-	h.want(outcome(logic.Reset, false), fmt.Sprintf("probed %d", logic.Failed))
+	h.want(outcome(logic.Reset, false), fmt.Sprintf("probe result %d", logic.Failed))
 }
 
 // Databases could not tell two open requests of one name apart, and one client would get the answer for the other.
@@ -304,7 +305,7 @@
 	h.received = nil
 	h.submit(&fakeResponder{})
 	h.dispatcher.Probe(h.id("two"))
-	h.want("request", outcome(logic.Moot, false), fmt.Sprintf("probed %d", logic.Moot))
+	h.want("request", outcome(logic.NotSent, false), fmt.Sprintf("probe result %d", logic.NotSent))
 	if h.dispatcher.Counters.NoRoom != 2 || h.dispatcher.membersByName["two"].unresponsive {
 		t.Errorf("connection limit reached %d times; member unresponsive: %v",
 			h.dispatcher.Counters.NoRoom, h.dispatcher.membersByName["two"].unresponsive)
@@ -315,7 +316,7 @@
 	h := newHarness(t, 9)
 	id := h.submit(&fakeResponder{})
 	h.dispatcher.Send(id, h.id("two"), time.Second, 0)
-	if h.want("request", outcome(logic.Moot, false)); len(h.conns) != 1 {
+	if h.want("request", outcome(logic.NotSent, false)); len(h.conns) != 1 {
 		t.Errorf("%d connections", len(h.conns))
 	}
 }
@@ -327,8 +328,8 @@
 	if _, err := h.dispatcher.Take(Request{Class: "any", Wait: time.Second, Command: fakeCommand{}, Caller: c}); err != nil {
 		t.Fatal(err)
 	}
-	h.want("request", outcome(logic.Moot, false), fmt.Sprintf("probed %d", logic.Moot))
-	h.dispatcher.Refuse(1, time.Millisecond, logic.RefusedCrowded)
+	h.want("request", outcome(logic.NotSent, false), fmt.Sprintf("probe result %d", logic.NotSent))
+	h.dispatcher.Refuse(1, time.Millisecond, logic.RefusedOverload)
 	c.want(t, "refused 1ms")
 }
 
@@ -358,11 +359,11 @@
 	} {
 		h := newHarness(t, 9)
 		interrupt(h, h.submit(&fakeResponder{}))
-		if received := h.received[len(h.received)-1]; !strings.HasPrefix(received, fmt.Sprintf("outcome %d", logic.Moot)) {
-			t.Errorf("%s: last router event: %s; want a moot outcome after the event that caused it", name, received)
+		if received := h.received[len(h.received)-1]; !strings.HasPrefix(received, fmt.Sprintf("outcome %d", logic.NotSent)) {
+			t.Errorf("%s: last router event: %s; want an outcome NotSent after the event that caused it", name, received)
 		}
-		if h.lastOutcome.Result != logic.Moot {
-			t.Errorf("%s: the attempt ended with result %d, want moot", name, h.lastOutcome.Result)
+		if h.lastOutcome.Result != logic.NotSent {
+			t.Errorf("%s: the attempt ended with result %d, want NotSent", name, h.lastOutcome.Result)
 		}
 		h.conns[0].listener.Up()
 		if h.conns[0].sent != 0 || !h.conns[0].closed {
@@ -393,7 +394,7 @@
 			t.Errorf("%v after sendBy: sent %d times, connection closed: %v", late, h.conns[0].sent, h.conns[0].closed)
 		}
 		if sent == 0 {
-			h.want(outcome(logic.Moot, false))
+			h.want(outcome(logic.NotSent, false))
 		}
 		h.dispatcher.Send(id, h.id("one"), 500*time.Millisecond, 0)
 		if sent == 0 && (h.conns[0].sent != 1 || len(h.conns) != 1) {
@@ -494,7 +495,7 @@
 		t.Errorf("%d probes on the new connection", h.conns[1].probes)
 	}
 	h.conns[1].listener.Down()
-	h.want(fmt.Sprintf("probed %d", logic.Reset))
+	h.want(fmt.Sprintf("probe result %d", logic.Reset))
 }
 
 // A member that is listed again keeps its id, because the router may still hold state for that id.
@@ -514,7 +515,7 @@
 func TestListWithAddressChangesAndRemovalsIsPassedToRouter(t *testing.T) {
 	h := newHarness(t, 9)
 	if e := h.lastList.Entries; h.lastList.Kind != logic.ListCached || len(e) != 2 || e[0].Zone != 1 ||
-		e[1].Zone != -1 || e[0].Born != 0 {
+		e[1].Zone != -1 || e[0].StartedAt != 0 {
 		t.Fatalf("%+v", h.lastList)
 	}
 	h.submit(&fakeResponder{})
@@ -522,7 +523,7 @@
 	h.conns[0].listener.Reply(Reply{Result: logic.OK})
 	h.dispatcher.Listed(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:9", State: logic.Ready,
 		Started: h.Unix() - time.Second}}})
-	if e := h.lastList.Entries; len(e) != 1 || e[0].ID != h.id("one") || e[0].Born != h.now-time.Second {
+	if e := h.lastList.Entries; len(e) != 1 || e[0].ID != h.id("one") || e[0].StartedAt != h.now-time.Second {
 		t.Errorf("%+v", h.lastList)
 	}
 	if !h.conns[0].closed {
@@ -587,7 +588,7 @@
 	h.advance(time.Millisecond)
 	h.want(outcome(logic.TimedOut, false))
 	h.dispatcher.Send(id, h.id("two"), time.Second, 0)
-	h.want(outcome(logic.Moot, false))
+	h.want(outcome(logic.NotSent, false))
 	h.dispatcher.Fail(id)
 	c.want(t, "failed")
 	if len(h.conns) != 1 || h.dispatcher.Pending() != 0 {
--- a/internal/state/members.go
+++ b/internal/state/members.go
@@ -23,7 +23,7 @@
 	Zone    string
 	Group   int
 	State   logic.MemberState
-	Size    float64
+	Weight  float64
 	Started time.Duration // Unix time of the process start; 0 = long ago
 }
 
@@ -82,7 +82,7 @@
 		m := f.member(e)
 		m.listed = true
 		out.Entries = append(out.Entries, logic.Member{ID: m.id, Zone: f.zoneIndex(e.Zone), Group: logic.GroupID(e.Group),
-			State: e.State, Size: e.Size, Born: fromUnix(f.clock, e.Started)})
+			State: e.State, Weight: e.Weight, StartedAt: fromUnix(f.clock, e.Started)})
 	}
 	if whole {
 		for _, m := range f.membersByName {
@@ -95,18 +95,18 @@
 		f.discoveryFailing = false
 		slog.Info("discovery calls succeed again")
 	}
-	f.notifyRouter(func() { f.router.Members(f.clock.Now(), out) })
+	f.notifyRouter(func() { f.router.MemberList(f.clock.Now(), out) })
 	f.cancelUnsentAttempts(f.changes.notReady)
 }
 
 // ListFailed reports that a call to the discovery service failed or that a watch broke. The current list stays valid.
-func (f *Front) ListFailed(why error) {
+func (f *Front) ListFailed(err error) {
 	f.Counters.ListFailures++
 	if !f.discoveryFailing {
 		f.discoveryFailing = true
-		slog.Warn("discovery call failed", "error", why)
+		slog.Warn("discovery call failed", "error", err)
 	}
-	f.notifyRouter(func() { f.router.Members(f.clock.Now(), logic.List{Kind: logic.ListFailed}) })
+	f.notifyRouter(func() { f.router.MemberList(f.clock.Now(), logic.List{Kind: logic.ListFailed}) })
 }
 
 // member returns the member of an entry, creating it if needed, after updating its address and state.
@@ -160,7 +160,7 @@
 func (f *Front) cancelUnsentAttempts(members []*member) {
 	slices.SortFunc(members, func(a, b *member) int { return strings.Compare(a.name, b.name) })
 	for _, m := range members {
-		if m.state == logic.Ready || m.state == logic.Gone && f.cfg.Logic.DrainOnly {
+		if m.state == logic.Ready || m.state == logic.Gone && f.cfg.Logic.IgnoreListedGone {
 			continue
 		}
 		for _, c := range slices.Clone(m.opening) {
@@ -172,10 +172,10 @@
 }
 
 // removeIfGone removes a member that is gone and has no connections: databases come and go under new names all day,
-// and would fill the memory. If the deployment sets DrainOnly, "gone" doesn't bind the router, which may still send
-// to the member until a whole list leaves it out.
+// and would fill the memory. If the deployment sets IgnoreListedGone, "gone" doesn't bind the router, which may still
+// send to the member until a whole list leaves it out.
 func (f *Front) removeIfGone(m *member) {
-	if m.state == logic.Gone && (!m.listed || !f.cfg.Logic.DrainOnly) && len(m.connections) == 0 &&
+	if m.state == logic.Gone && (!m.listed || !f.cfg.Logic.IgnoreListedGone) && len(m.connections) == 0 &&
 		f.membersByName[m.name] == m {
 		delete(f.membersByName, m.name)
 		delete(f.membersByID, m.id)
--- a/internal/wire/settings/settings.go
+++ b/internal/wire/settings/settings.go
@@ -13,14 +13,14 @@
 
 // classJSON is an element of request_classes.
 type classJSON struct {
-	Name   string  `json:"name"`
-	Aim    float64 `json:"aim"`
-	Limit  float64 `json:"hard_limit"`
-	Effect string  `json:"effect"`
-	Scope  string  `json:"key_scope"`
-	Stream bool    `json:"stream"`
-	Window float64 `json:"dedup_window"`
-	Worth  float64 `json:"worth"`
+	Name          string  `json:"name"`
+	TargetLatency float64 `json:"aim"`
+	ClientTimeout float64 `json:"hard_limit"`
+	Effect        string  `json:"effect"`
+	DedupScope    string  `json:"key_scope"`
+	Stream        bool    `json:"stream"`
+	DedupWindow   float64 `json:"dedup_window"`
+	Worth         float64 `json:"worth"`
 }
 
 // settingsJSON is the JSON form of the settings. Times are in microseconds.
@@ -33,29 +33,29 @@
 		ListRole     string    `json:"list_role"`
 		MaxAge       []float64 `json:"max_age"`
 		Origin       float64   `json:"origin_time"`
-		Checks       string    `json:"server_checks"`
+		ServerChecks string    `json:"server_checks"`
 		SessionMarks string    `json:"session_marks"`
 	} `json:"domain"`
 	Limits struct {
-		ConnectTime   float64 `json:"connect_timeout"`
-		IdleClose     float64 `json:"idle_close"`
-		MaxAttempts   int     `json:"max_attempts"`
-		MaxRetryAfter float64 `json:"max_retry_after"`
-		MayCancel     bool    `json:"may_cancel"`
-		Parallel      bool    `json:"parallel_tries"`
-		Probes        bool    `json:"probes"`
-		RetryAfter    bool    `json:"retry_after"`
+		ConnectTime      float64 `json:"connect_timeout"`
+		IdleClose        float64 `json:"idle_close"`
+		MaxAttempts      int     `json:"max_attempts"`
+		MaxRetryAfter    float64 `json:"max_retry_after"`
+		MayCancel        bool    `json:"may_cancel"`
+		ParallelAttempts bool    `json:"parallel_tries"`
+		Probes           bool    `json:"probes"`
+		RetryAfter       bool    `json:"retry_after"`
 	} `json:"limits"`
-	OverShare float64 `json:"over_share_worth"`
-	Reporting struct {
+	OverQuotaWorth float64 `json:"over_share_worth"`
+	Reporting      struct {
 		Fields []string `json:"fields"`
 		How    string   `json:"how"`
 	} `json:"reporting"`
 	Safety struct {
-		Cold      float64 `json:"cold"`
-		ColdShare float64 `json:"cold_share"`
-		Multiple  float64 `json:"fall_multiple"`
-		DrainOnly bool    `json:"drain_binds_alone"`
+		ColdDuration     float64 `json:"cold"`
+		ColdCapacity     float64 `json:"cold_share"`
+		OverloadMultiple float64 `json:"fall_multiple"`
+		IgnoreListedGone bool    `json:"drain_binds_alone"`
 	} `json:"safety"`
 	Tenants []struct {
 		Name  string  `json:"name"`
@@ -107,20 +107,21 @@
 	}
 	listRole, err1 := parseEnum("domain.list_role", domain.ListRole, map[string]logic.ListRole{
 		"none": logic.ListRoleNone, "start": logic.ListRoleStart, "late": logic.ListRoleLate})
-	checks, err2 := parseEnum("domain.server_checks", domain.Checks, map[string]logic.Checks{
-		"none": logic.ChecksNone, "refuse": logic.ChecksRefuse, "wait": logic.ChecksWait})
-	pull, err3 := parseEnum("discovery", raw.Discovery, map[string]bool{"pushed": false, "on_request": true})
-	carried, err4 := parseEnum("domain.session_marks", domain.SessionMarks,
+	serverChecks, err2 := parseEnum("domain.server_checks", domain.ServerChecks, map[string]logic.ServerChecks{
+		"none": logic.ServerChecksNone, "refuse": logic.ServerChecksRefuse, "wait": logic.ServerChecksWait})
+	listOnRequest, err3 := parseEnum("discovery", raw.Discovery, map[string]bool{"pushed": false, "on_request": true})
+	tokensCarried, err4 := parseEnum("domain.session_marks", domain.SessionMarks,
 		map[string]bool{"remembered": false, "carried": true})
 	if err := errors.Join(err1, err2, err3, err4); err != nil {
 		return Settings{}, err
 	}
 	cfg := logic.Config{
-		Seed: seed, Fronts: raw.FleetSize, Zone: raw.Zone, OverShare: raw.OverShare, Tick: micros(raw.Tick),
-		Pull: pull, ListRole: listRole, Carried: carried, Checks: checks,
-		MayProbe: limits.Probes, MayCancel: limits.MayCancel, Parallel: limits.Parallel, MayComeBack: limits.RetryAfter,
-		MaxAttempts: limits.MaxAttempts, MaxComeBack: micros(limits.MaxRetryAfter),
-		Cold: micros(safety.Cold), ColdShare: safety.ColdShare, FallMultiple: safety.Multiple, DrainOnly: safety.DrainOnly,
+		Seed: seed, Proxies: raw.FleetSize, Zone: raw.Zone, OverQuotaWorth: raw.OverQuotaWorth, Tick: micros(raw.Tick),
+		ListOnRequest: listOnRequest, ListRole: listRole, TokensCarried: tokensCarried, ServerChecks: serverChecks,
+		MayProbe: limits.Probes, MayCancel: limits.MayCancel, ParallelAttempts: limits.ParallelAttempts,
+		MaySendRetryAfter: limits.RetryAfter, MaxAttempts: limits.MaxAttempts, MaxRetryAfter: micros(limits.MaxRetryAfter),
+		ColdDuration: micros(safety.ColdDuration), ColdCapacity: safety.ColdCapacity,
+		OverloadMultiple: safety.OverloadMultiple, IgnoreListedGone: safety.IgnoreListedGone,
 	}
 	for i, c := range raw.Classes {
 		class, err := parseClass(c, domain.Freshness[i])
@@ -141,15 +142,17 @@
 
 // parseClass converts a request class. Its freshness comes from another list of the settings, domain.freshness.
 func parseClass(c classJSON, freshness string) (logic.Class, error) {
-	read, err1 := parseEnum("freshness", freshness, map[string]logic.Freshness{"any": logic.Any,
-		"bounded": logic.Bounded, "session": logic.Session, "fresh": logic.Fresh, "write": logic.Write})
+	required, err1 := parseEnum("freshness", freshness, map[string]logic.Freshness{"any": logic.FreshnessAny,
+		"bounded": logic.FreshnessBounded, "session": logic.FreshnessSession, "fresh": logic.FreshnessLatest,
+		"write": logic.FreshnessWrite})
 	effect, err2 := parseEnum("effect", c.Effect, map[string]logic.Effect{
-		"free": logic.Free, "guarded": logic.Guarded, "single_shot": logic.SingleShot})
-	scope, err3 := parseEnum("key_scope", c.Scope, map[string]logic.KeyScope{
-		"all": logic.ScopeAll, "zone": logic.ScopeZone, "cell": logic.ScopeCell})
+		"free": logic.EffectIdempotent, "guarded": logic.EffectDeduplicated, "single_shot": logic.EffectNonIdempotent})
+	scope, err3 := parseEnum("key_scope", c.DedupScope, map[string]logic.KeyScope{
+		"all": logic.KeyScopeAll, "zone": logic.KeyScopeZone, "cell": logic.KeyScopeCell})
 	if err := errors.Join(err1, err2, err3); err != nil {
 		return logic.Class{}, err
 	}
-	return logic.Class{Name: c.Name, Read: read, Aim: micros(c.Aim), Limit: micros(c.Limit), Effect: effect,
-		Scope: scope, DedupWindow: micros(c.Window), Worth: c.Worth, Stream: c.Stream}, nil
+	return logic.Class{Name: c.Name, RequiredFreshness: required, TargetLatency: micros(c.TargetLatency),
+		ClientTimeout: micros(c.ClientTimeout), Effect: effect, DedupScope: scope, DedupWindow: micros(c.DedupWindow),
+		Worth: c.Worth, Stream: c.Stream}, nil
 }
--- a/internal/wire/settings/settings_test.go
+++ b/internal/wire/settings/settings_test.go
@@ -26,11 +26,11 @@
 		t.Fatal(err)
 	}
 	c := s.Config
-	if c.Seed != 9 || c.Fronts != 3 || c.Tick != 5*time.Millisecond || c.Zone != 1 || !c.Pull || !c.Carried ||
-		c.Checks != logic.ChecksWait || c.ListRole != logic.ListRoleLate ||
-		c.Classes[0].MaxAge != 800*time.Millisecond || c.Classes[1].Scope != logic.ScopeCell ||
+	if c.Seed != 9 || c.Proxies != 3 || c.Tick != 5*time.Millisecond || c.Zone != 1 || !c.ListOnRequest || !c.TokensCarried ||
+		c.ServerChecks != logic.ServerChecksWait || c.ListRole != logic.ListRoleLate ||
+		c.Classes[0].MaxAge != 800*time.Millisecond || c.Classes[1].DedupScope != logic.KeyScopeCell ||
 		c.Classes[1].DedupWindow != 1200*time.Millisecond || c.Tenants[0].Quota != 12.5 ||
-		c.FallMultiple != 3 || s.Origin != 613484020636*time.Microsecond || len(s.Fields) != 2 {
+		c.OverloadMultiple != 3 || s.Origin != 613484020636*time.Microsecond || len(s.Fields) != 2 {
 		t.Errorf("%+v", s)
 	}
 	for want, text := range map[string]string{
--- a/internal/wire/sim/frames.go
+++ b/internal/wire/sim/frames.go
@@ -17,7 +17,7 @@
 // Event codes.
 const (
 	codeDefineList    = 16 // defines a numbered member list, which codeMembers refers to
-	codeMembers       = 17
+	codeMemberList    = 17
 	codeTimer         = 18
 	codeInstanceStart = 19
 	codeProbeResult   = 20
@@ -59,31 +59,31 @@
 
 // The kinds of events that router instances receive.
 const (
-	Hello     Kind = iota // an instance starts; sets Seed and Settings
-	Retire                // an instance stops
-	Members               // news of the member list; sets List
-	Submit                // a client sent a request; sets Request
-	Head                  // a streamed answer has begun; sets ID and Attempt
-	Outcome               // an attempt ended; sets Outcome
-	Probed                // a probe ended; sets Probed
-	Timer                 // a timer expired; sets Timer
-	Abandoned             // the client left; sets ID
-	Datagram              // bytes from another instance, which are not decoded
+	Hello       Kind = iota // an instance starts; sets Seed and Settings
+	Retire                  // an instance stops
+	MemberList              // news of the member list; sets List
+	Submit                  // a client sent a request; sets Request
+	Head                    // a streamed answer has begun; sets ID and Attempt
+	Outcome                 // an attempt ended; sets Outcome
+	ProbeResult             // a probe ended; sets ProbeResult
+	Timer                   // a timer expired; sets Timer
+	Abandoned               // the client left; sets ID
+	Datagram                // bytes from another instance, which are not decoded
 )
 
 // Event is one decoded event. Apart from Kind and Instance, only the fields of its Kind are set.
 type Event struct {
-	Kind     Kind
-	Instance uint32
-	Seed     uint64
-	Settings []byte
-	List     logic.List
-	Request  logic.Request
-	ID       logic.RequestID
-	Attempt  int
-	Outcome  logic.Outcome
-	Probed   logic.Probed
-	Timer    logic.TimerID
+	Kind        Kind
+	Instance    uint32
+	Seed        uint64
+	Settings    []byte
+	List        logic.List
+	Request     logic.Request
+	ID          logic.RequestID
+	Attempt     int
+	Outcome     logic.Outcome
+	ProbeResult logic.ProbeResult
+	Timer       logic.TimerID
 }
 
 // Scale holds the settings of an instance that are needed to decode positions and load reports.
@@ -223,7 +223,7 @@
 	for ; len(raw) > 0; raw = raw[listEntrySize:] {
 		e := record(raw[:listEntrySize])
 		m := logic.Member{ID: e.memberID(0), Zone: int(e.u16(6)), Group: logic.GroupID(e.u16(10)),
-			Primary: e.f32(13) == 1, Size: float64(e.f32(17)), Born: micros64(e.u64(21))}
+			Primary: e.f32(13) == 1, Weight: float64(e.f32(17)), StartedAt: micros64(e.u64(21))}
 		switch e.u8(12) {
 		case 1:
 			m.State = logic.Ready
@@ -247,8 +247,8 @@
 		e.Settings, err = b.tailSpan(rec.u32(13), rec.u32(17), 1)
 	case codeInstanceStop:
 		e.Kind = Retire
-	case codeMembers:
-		e.Kind = Members
+	case codeMemberList:
+		e.Kind = MemberList
 		scope, number := rec.u8(5), rec.u8(10)
 		if int(scope) >= len(listKinds) {
 			return fmt.Errorf("list scope %d is unknown", scope)
@@ -270,13 +270,15 @@
 	case codeTimer:
 		e.Kind, e.Timer = Timer, logic.TimerID(rec.u64(5))
 	case codeProbeResult:
-		e.Kind = Probed
-		e.Probed = logic.Probed{Member: rec.memberID(7), Took: rec.micros(13), Report: format.parseReport(rec, 17)}
-		e.Probed.Result, err = parseResult(rec.u16(5))
+		e.Kind = ProbeResult
+		e.ProbeResult = logic.ProbeResult{Member: rec.memberID(7), Took: rec.micros(13),
+			Report: format.parseReport(rec, 17)}
+		e.ProbeResult.Result, err = parseResult(rec.u16(5))
 	case codeAttemptEnd:
 		e.Kind = Outcome
 		e.Outcome = logic.Outcome{Request: logic.RequestID(rec.u64(5)), Attempt: int(rec.u8(17)),
-			Member: rec.memberID(18), Took: rec.micros(24), Finished: rec.u8(28) != 0, Load: format.parseReport(rec, 31)}
+			Member: rec.memberID(18), Took: rec.micros(24), Answered: rec.u8(28) != 0,
+			LoadReport: format.parseReport(rec, 31)}
 		e.Outcome.Role, e.Outcome.Position = format.note(rec.u32(13))
 		e.Outcome.Result, err = parseResult(rec.u16(29))
 	case codeAbandoned:
@@ -310,7 +312,7 @@
 	case 306:
 		return logic.Cancelled, nil
 	case 307:
-		return logic.Moot, nil
+		return logic.NotSent, nil
 	}
 	return 0, fmt.Errorf("outcome code %d is unknown", code)
 }
--- a/internal/wire/sim/sim_test.go
+++ b/internal/wire/sim/sim_test.go
@@ -82,9 +82,9 @@
 	}
 	o := ev[3].Outcome
 	want := logic.Outcome{Request: 25486, Member: 0x074a120a2bc3, Result: logic.OK, Took: 18500 * time.Microsecond,
-		Finished: true, Role: logic.RolePrimary, Position: time.Second + 6*time.Millisecond}
+		Answered: true, Role: logic.RolePrimary, Position: time.Second + 6*time.Millisecond}
 	want.Member = logic.MemberID(0x0a124a07)<<16 | 0x2bc3
-	want.Load.Queue = -1
+	want.LoadReport.Queue = -1
 	if o != want {
 		t.Errorf("AttemptEnd:\n%+v, want\n%+v", o, want)
 	}
@@ -103,11 +103,11 @@
 	}
 	x, y := ev[0].List, ev[1].List
 	if x.Kind != logic.ListCached || len(x.Entries) != 1 || !x.Entries[0].Primary || x.Entries[0].State != logic.Ready ||
-		x.Entries[0].Zone != 1 || x.Entries[0].Group != 11 || x.Entries[0].Size != 1 || x.Entries[0].Born != 0 {
+		x.Entries[0].Zone != 1 || x.Entries[0].Group != 11 || x.Entries[0].Weight != 1 || x.Entries[0].StartedAt != 0 {
 		t.Errorf("first list: %+v", x)
 	}
-	if y.Kind != logic.ListFull || len(y.Entries) != 1 || y.Entries[0].State != logic.Draining || y.Entries[0].Size != 1.5 ||
-		y.Entries[0].Born != 0x5d1420*time.Microsecond || y.Entries[0].Primary {
+	if y.Kind != logic.ListFull || len(y.Entries) != 1 || y.Entries[0].State != logic.Draining || y.Entries[0].Weight != 1.5 ||
+		y.Entries[0].StartedAt != 0x5d1420*time.Microsecond || y.Entries[0].Primary {
 		t.Errorf("second list: %+v", y)
 	}
 	if ev[2].List.Kind != logic.ListFailed || len(ev[2].List.Entries) != 0 {
@@ -129,13 +129,13 @@
 	if err := new(Decoder).decode(Batch{}, rec, format, &e); err != nil {
 		t.Fatal(err)
 	}
-	got, exact := e.Probed.Report, time.Hour+time.Duration(float64(x0)*1e9)
+	got, exact := e.ProbeResult.Report, time.Hour+time.Duration(float64(x0)*1e9)
 	if got.Role != logic.RolePrimary || got.Queue != 4 || got.Position >= exact || got.Position < exact-time.Millisecond {
 		t.Errorf("%+v, want a position just under %v", got, exact)
 	}
 	rec[17] = 0
-	if err := new(Decoder).decode(Batch{}, rec, format, &e); err != nil || e.Probed.Report != (logic.Report{Queue: -1}) {
-		t.Errorf("empty report: %+v, error %v", e.Probed.Report, err)
+	if err := new(Decoder).decode(Batch{}, rec, format, &e); err != nil || e.ProbeResult.Report != (logic.Report{Queue: -1}) {
+		t.Errorf("empty report: %+v, error %v", e.ProbeResult.Report, err)
 	}
 }
 
@@ -186,7 +186,7 @@
 	e.SetTimer(77, 8912250*time.Microsecond)
 	e.Log("two servers known")
 	e.Probe(m)
-	e.Refuse(id, time.Second, logic.RefusedCrowded)
+	e.Refuse(id, time.Second, logic.RefusedOverload)
 	e.Fail(id)
 	e.Cancel(id, 2)
 	e.Watch(true)
--- a/logic/api.go
+++ b/logic/api.go
@@ -32,11 +32,11 @@
 
 // The freshness requirements.
 const (
-	Any     Freshness = iota // any member's data, however old
-	Bounded                  // data at most Class.MaxAge old at the time of sending
-	Session                  // includes all writes of the session
-	Fresh                    // includes all commits made before the request arrived
-	Write                    // not a read: only the primary accepts it
+	FreshnessAny     Freshness = iota // any member's data, however old
+	FreshnessBounded                  // data at most Class.MaxAge old at the time of sending
+	FreshnessSession                  // includes all writes of the session
+	FreshnessLatest                   // includes all commits made before the request arrived
+	FreshnessWrite                    // not a read: only the primary accepts it
 )
 
 // Effect tells whether a request may be executed more than once.
@@ -44,9 +44,9 @@
 
 // The kinds of effects.
 const (
-	Free       Effect = iota // safe to repeat
-	Guarded                  // carries an idempotency key; members drop duplicates for Class.DedupWindow
-	SingleShot               // must never be executed twice
+	EffectIdempotent    Effect = iota // safe to repeat
+	EffectDeduplicated                // has an idempotency key; members drop duplicates for Class.DedupWindow
+	EffectNonIdempotent               // must never be executed twice
 )
 
 // KeyScope tells which members recognize a duplicate of a request with an idempotency key.
@@ -54,19 +54,19 @@
 
 // The scopes of an idempotency key.
 const (
-	ScopeAll  KeyScope = iota // all members
-	ScopeZone                 // members of the same zone
-	ScopeCell                 // members of the same group
+	KeyScopeAll  KeyScope = iota // all members
+	KeyScopeZone                 // members of the same zone
+	KeyScopeCell                 // members of the same group
 )
 
-// Checks is what a member does with a read if its replication lag is too large for it.
-type Checks uint8
+// ServerChecks is what a member does with a read if its replication lag is too large for it.
+type ServerChecks uint8
 
 // The kinds of member-side checks.
 const (
-	ChecksNone   Checks = iota // answers from the data it has
-	ChecksRefuse               // ends the attempt with Miss at once
-	ChecksWait                 // waits a little to catch up, then ends the attempt with Miss
+	ServerChecksNone   ServerChecks = iota // answers from the data it has
+	ServerChecksRefuse                     // ends the attempt with Miss at once
+	ServerChecksWait                       // waits a little to catch up, then ends the attempt with Miss
 )
 
 // ListRole tells whether the member list names the primary, and how current that is.
@@ -81,16 +81,16 @@
 
 // Class describes one class of request.
 type Class struct {
-	Name        string
-	Read        Freshness
-	MaxAge      time.Duration // for Bounded
-	Aim         time.Duration // target latency; answers within it earn the full worth
-	Limit       time.Duration // how long the client waits, over all its retries
-	Effect      Effect
-	Scope       KeyScope
-	DedupWindow time.Duration
-	Worth       float64
-	Stream      bool
+	Name              string
+	RequiredFreshness Freshness
+	MaxAge            time.Duration // for FreshnessBounded
+	TargetLatency     time.Duration // answers within it earn the full worth
+	ClientTimeout     time.Duration // how long the client waits, over all its retries
+	Effect            Effect
+	DedupScope        KeyScope
+	DedupWindow       time.Duration
+	Worth             float64 // value of an answer within TargetLatency, compared to other classes
+	Stream            bool    // the answer arrives in parts; see Events.AnswerStarted
 }
 
 // Tenant describes one tenant of the deployment.
@@ -102,32 +102,32 @@
 // Config is the configuration of a router. Every field is a fact about the deployment; the zero value of an
 // optional field means "no" or "none".
 type Config struct {
-	Seed   uint64 // for the router's own random numbers
-	Fronts int    // number of proxies that share the traffic
-	Zone   int    // zone of this proxy
-
-	Classes   []Class
-	Tenants   []Tenant
-	OverShare float64 // worth of a request over its tenant's quota, as a fraction of its class's Worth
-
-	Tick     time.Duration // the proxy delivers events at most once per tick
-	Pull     bool          // the member list must be requested (Watch, Fetch); otherwise it is pushed
-	Agent    bool          // a local agent serves the list from memory, so frequent calls cost nobody else
-	ListRole ListRole
-	Carried  bool // requests carry their session's token; otherwise the router tracks commits
-	Checks   Checks
-
-	MayProbe    bool
-	MayCancel   bool
-	Parallel    bool // a request may have two attempts in flight at once
-	MayComeBack bool // a refusal may carry a retry-after hint
-	MaxAttempts int
-	MaxComeBack time.Duration // longest retry-after hint that clients respect
-
-	Cold         time.Duration // a restarted member is warm after at most this time
-	ColdShare    float64       // least capacity of a cold member, as a fraction of its warm capacity
-	FallMultiple float64       // a cold member fails if it is sent more than this many times its capacity
-	DrainOnly    bool          // the list is authoritative only for draining, not for gone
+	Seed    uint64 // for the router's own random numbers
+	Proxies int    // number of proxies that share the traffic
+	Zone    int    // zone of this proxy
+
+	Classes        []Class
+	Tenants        []Tenant
+	OverQuotaWorth float64 // worth of a request over its tenant's quota, as a fraction of its class's Worth
+
+	Tick          time.Duration // the proxy delivers events at most once per tick
+	ListOnRequest bool          // the member list must be requested (Watch, Fetch); otherwise it is pushed
+	LocalAgent    bool          // a local agent serves the list from memory, so frequent calls cost nobody else
+	ListRole      ListRole
+	TokensCarried bool // requests carry their session's token; otherwise the router tracks commits
+	ServerChecks  ServerChecks
+
+	MayProbe          bool
+	MayCancel         bool
+	ParallelAttempts  bool          // a request may have two attempts in flight at once
+	MaySendRetryAfter bool          // a refusal may carry a retry-after hint
+	MaxAttempts       int           // per request; 0 = no limit
+	MaxRetryAfter     time.Duration // longest retry-after hint that clients respect
+
+	ColdDuration     time.Duration // a restarted member is warm after at most this time
+	ColdCapacity     float64       // least capacity of a cold member, as a fraction of its warm capacity
+	OverloadMultiple float64       // a cold member fails if it is sent more than this many times its capacity
+	IgnoreListedGone bool          // the list is authoritative only for draining, not for gone
 }
 
 // Refusal is the reason why a request is refused.
@@ -137,7 +137,7 @@
 const (
 	RefusedNoTime    Refusal = iota // too little time before the deadline, or no further attempt allowed
 	RefusedNoPrimary                // the class needs the primary, and no usable one is known
-	RefusedCrowded                  // every member that may serve the request is at its limit
+	RefusedOverload                 // every member that may serve the request is at its limit
 )
 
 // retryAfter returns how long the client should wait before it retries; 0 means no hint.
@@ -145,7 +145,7 @@
 	switch r {
 	case RefusedNoPrimary:
 		return retryAfterNoPrimary
-	case RefusedCrowded:
+	case RefusedOverload:
 		return retryAfterOverload
 	}
 	return 0
@@ -159,14 +159,14 @@
 	Group    GroupID
 	Session  SessionID
 	Deadline time.Duration // when the client gives up waiting for this request
-	TokenAge time.Duration // with Config.Carried: time since the session's last commit; 0 = none
+	TokenAge time.Duration // with Config.TokensCarried: time since the session's last commit; 0 = none
 	Retry    bool          // the client marked it as a retry
 }
 
 // Result is how an attempt or a probe ended.
 type Result uint8
 
-// The results; NeverRan tells which of them prove that the request was not executed.
+// The results; NotExecuted tells which of them prove that the request was not executed.
 const (
 	OK            Result = iota
 	Miss                 // rejected, not executed: the member is not the primary, or lags too far behind
@@ -176,25 +176,25 @@
 	ConnectFailed        // no connection could be opened
 	Reset                // the connection was lost; may have been executed
 	Cancelled            // cancelled by the router; may have been executed
-	Moot                 // not sent by the proxy
+	NotSent              // not sent by the proxy
 )
 
-// NeverRan tells whether the result proves that the request was not executed.
-func (r Result) NeverRan() bool {
-	return r == Miss || r == Full || r == ConnectFailed || r == Moot
+// NotExecuted tells whether the result proves that the request was not executed.
+func (r Result) NotExecuted() bool {
+	return r == Miss || r == Full || r == ConnectFailed || r == NotSent
 }
 
 // Outcome is the end of one attempt; every Send is followed by exactly one.
 type Outcome struct {
-	Request  RequestID
-	Attempt  int // 0 for the request's first Send, then 1, 2, ...
-	Member   MemberID
-	Result   Result
-	Took     time.Duration
-	Finished bool          // the client has its final answer; the first OK always is one
-	Role     Role          // the member's role according to the answer
-	Position time.Duration // all commits up to then are applied (rounded down); for an OK write: its commit
-	Load     Report        // set where answers carry load reports
+	Request    RequestID
+	Attempt    int // 0 for the request's first Send, then 1, 2, ...
+	Member     MemberID
+	Result     Result
+	Took       time.Duration
+	Answered   bool          // the client has its final answer; the first OK always is one
+	Role       Role          // the member's role according to the answer
+	Position   time.Duration // all commits up to then are applied (rounded down); for an OK write: its commit
+	LoadReport Report        // set where answers carry load reports
 }
 
 // Report is what a member reports about itself; it may be slightly out of date.
@@ -204,8 +204,8 @@
 	Queue    float64       // number of requests waiting; negative = unknown
 }
 
-// Probed is the result of one Probe.
-type Probed struct {
+// ProbeResult is the result of one Probe.
+type ProbeResult struct {
 	Member MemberID
 	Result Result
 	Took   time.Duration
@@ -224,13 +224,13 @@
 
 // Member is one entry of the member list.
 type Member struct {
-	ID      MemberID
-	Zone    int
-	Group   GroupID
-	State   MemberState
-	Primary bool
-	Size    float64
-	Born    time.Duration // when its process last started; 0 = long ago
+	ID        MemberID
+	Zone      int
+	Group     GroupID
+	State     MemberState
+	Primary   bool
+	Weight    float64       // relative capacity according to the list; not used by the router
+	StartedAt time.Duration // when its process last started; 0 = long ago
 }
 
 // ListKind tells how a list event relates to the previous ones.
@@ -253,11 +253,12 @@
 // Events are the notifications that a proxy delivers to its router. Calls must not overlap, and now must
 // never decrease from one call to the next.
 type Events interface {
-	Members(now time.Duration, l List)
+	MemberList(now time.Duration, l List)
 	Request(now time.Duration, q Request)
-	Started(now time.Duration, id RequestID, attempt int) // the first part of a streamed answer has arrived
+	// AnswerStarted tells that the first part of a streamed answer has arrived.
+	AnswerStarted(now time.Duration, id RequestID, attempt int)
 	Outcome(now time.Duration, o Outcome)
-	Probed(now time.Duration, p Probed)
+	ProbeResult(now time.Duration, p ProbeResult)
 	Timer(now time.Duration, id TimerID)
 	Abandoned(now time.Duration, id RequestID) // the client disconnected and expects no answer
 }
--- a/logic/discovery.go
+++ b/logic/discovery.go
@@ -21,13 +21,13 @@
 
 // listCallEnded ends the one pending list call and schedules the next one if it failed.
 func (r *Router) listCallEnded(now time.Duration, kind ListKind) {
-	if !r.cfg.Pull || kind == ListCached {
+	if !r.cfg.ListOnRequest || kind == ListCached {
 		return
 	}
 	r.listCallAt = 0
 	if kind == ListFailed {
 		minPause, maxPause := listRetryMin, listRetryMax
-		if r.cfg.Agent {
+		if r.cfg.LocalAgent {
 			minPause, maxPause = agentListRetryMin, agentListRetryMax
 		}
 		r.nextListCallAt = now + minPause + time.Duration(r.rng.Int64N(int64(maxPause-minPause)))
--- a/logic/fake_proxy_test.go
+++ b/logic/fake_proxy_test.go
@@ -65,23 +65,29 @@
 	classBounded = iota
 	classSession
 	classAny
-	classGuarded
-	classUnsafe
-	classFresh
+	classDeduplicated
+	classNonIdempotent
+	classLatest
 )
 
 func testConfig() Config {
-	return Config{Seed: 7, Fronts: 2, Tick: 5 * ms, Classes: []Class{
-		{Name: "bounded", Read: Bounded, MaxAge: 800 * ms, Aim: 500 * ms, Limit: 1500 * ms, Worth: 1},
-		{Name: "session", Read: Session, Aim: 400 * ms, Limit: 1000 * ms, Worth: 1},
-		{Name: "any", Read: Any, Aim: 4 * time.Second, Limit: 8 * time.Second, Worth: 6},
-		{Name: "guarded", Read: Write, Effect: Guarded, Scope: ScopeCell, DedupWindow: 1200 * ms,
-			Aim: 1500 * ms, Limit: 2 * time.Second, Worth: 4},
-		{Name: "unsafe", Read: Write, Effect: SingleShot, Aim: 500 * ms, Limit: 5 * time.Second, Worth: 3},
-		{Name: "fresh", Read: Fresh, Aim: 500 * ms, Limit: 2 * time.Second, Worth: 1},
-	}, MayProbe: true, MayCancel: true, Parallel: true, MayComeBack: true, MaxAttempts: 8,
-		MaxComeBack: 500 * ms, Cold: 16 * time.Second,
-		ColdShare: 0.16, FallMultiple: 3}
+	return Config{Seed: 7, Proxies: 2, Tick: 5 * ms, Classes: []Class{
+		{Name: "bounded", RequiredFreshness: FreshnessBounded, MaxAge: 800 * ms,
+			TargetLatency: 500 * ms, ClientTimeout: 1500 * ms, Worth: 1},
+		{Name: "session", RequiredFreshness: FreshnessSession,
+			TargetLatency: 400 * ms, ClientTimeout: 1000 * ms, Worth: 1},
+		{Name: "any", RequiredFreshness: FreshnessAny,
+			TargetLatency: 4 * time.Second, ClientTimeout: 8 * time.Second, Worth: 6},
+		{Name: "deduplicated", RequiredFreshness: FreshnessWrite, Effect: EffectDeduplicated,
+			DedupScope: KeyScopeCell, DedupWindow: 1200 * ms,
+			TargetLatency: 1500 * ms, ClientTimeout: 2 * time.Second, Worth: 4},
+		{Name: "non-idempotent", RequiredFreshness: FreshnessWrite, Effect: EffectNonIdempotent,
+			TargetLatency: 500 * ms, ClientTimeout: 5 * time.Second, Worth: 3},
+		{Name: "latest", RequiredFreshness: FreshnessLatest,
+			TargetLatency: 500 * ms, ClientTimeout: 2 * time.Second, Worth: 1},
+	}, MayProbe: true, MayCancel: true, ParallelAttempts: true, MaySendRetryAfter: true, MaxAttempts: 8,
+		MaxRetryAfter: 500 * ms, ColdDuration: 16 * time.Second,
+		ColdCapacity: 0.16, OverloadMultiple: 3}
 }
 
 func newFakeProxy(t *testing.T, cfg Config) *fakeProxy {
@@ -113,7 +119,7 @@
 	for i := 1; i <= n; i++ {
 		l.Entries = append(l.Entries, newEntry(i))
 	}
-	f.router.Members(f.now, l)
+	f.router.MemberList(f.now, l)
 }
 
 // advance lets time pass and answers probes, except those of the unresponsive members: member 1 answers
@@ -137,14 +143,14 @@
 		if m == 1 {
 			report = Report{Role: RolePrimary, Position: f.now}
 		}
-		f.router.Probed(f.now, Probed{Member: m, Took: ms, Report: report})
+		f.router.ProbeResult(f.now, ProbeResult{Member: m, Took: ms, Report: report})
 	}
 }
 
 func (f *fakeProxy) submit(class int, session SessionID) RequestID {
 	f.nextID++
 	f.router.Request(f.now, Request{ID: f.nextID, Class: class, Session: session,
-		Deadline: f.now + f.router.cfg.Classes[class].Limit})
+		Deadline: f.now + f.router.cfg.Classes[class].ClientTimeout})
 	return f.nextID
 }
 
@@ -179,7 +185,7 @@
 // end delivers the outcome of an attempt, with the role and position that the member would report.
 func (f *fakeProxy) end(s sentAttempt, result Result) {
 	o := Outcome{Request: s.id, Attempt: s.number, Member: s.to, Result: result, Took: f.now - s.sentAt,
-		Finished: result == OK}
+		Answered: result == OK}
 	if result == OK || result == Miss || result == Failed || result == Full {
 		o.Role, o.Position = RoleReplica, f.now-10*ms
 		if s.to == 1 {
@@ -210,13 +216,14 @@
 func ExampleRouter() {
 	// The proxy implements Actions; this one prints what it is asked to send.
 	r, err := New(Config{Seed: 1, Tick: ms,
-		Classes: []Class{{Name: "lookup", Read: Any, Aim: 100 * ms, Limit: time.Second}}}, printingProxy{})
+		Classes: []Class{{Name: "lookup", RequiredFreshness: FreshnessAny,
+			TargetLatency: 100 * ms, ClientTimeout: time.Second}}}, printingProxy{})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	now := 10 * time.Second
-	r.Members(now, List{Kind: ListFull, Entries: []Member{{ID: 42, Group: 3, State: Ready}}})
+	r.MemberList(now, List{Kind: ListFull, Entries: []Member{{ID: 42, Group: 3, State: Ready}}})
 	r.Request(now, Request{ID: 1, Class: 0, Group: 3, Deadline: now + time.Second})
 	// Output: send request 1 to member 42
 }
--- a/logic/fifo_cache.go
+++ b/logic/fifo_cache.go
@@ -7,29 +7,29 @@
 	oldest         int // index in insertionOrder of the next key to evict
 }
 
-func (t *fifoCache[K, V]) init(capacity int) {
-	t.values, t.insertionOrder = map[K]V{}, make([]K, 0, capacity)
+func (c *fifoCache[K, V]) init(capacity int) {
+	c.values, c.insertionOrder = map[K]V{}, make([]K, 0, capacity)
 }
 
-func (t *fifoCache[K, V]) get(k K) (V, bool) {
-	v, ok := t.values[k]
+func (c *fifoCache[K, V]) get(k K) (V, bool) {
+	v, ok := c.values[k]
 	return v, ok
 }
 
 // put stores a value and returns the value that it evicted, if any.
-func (t *fifoCache[K, V]) put(k K, v V) (evicted V, wasEvicted bool) {
-	if _, ok := t.values[k]; ok {
-		t.values[k] = v
+func (c *fifoCache[K, V]) put(k K, v V) (evicted V, wasEvicted bool) {
+	if _, ok := c.values[k]; ok {
+		c.values[k] = v
 		return evicted, false
 	}
-	if len(t.insertionOrder) < cap(t.insertionOrder) {
-		t.insertionOrder = append(t.insertionOrder, k)
+	if len(c.insertionOrder) < cap(c.insertionOrder) {
+		c.insertionOrder = append(c.insertionOrder, k)
 	} else {
-		evicted, wasEvicted = t.values[t.insertionOrder[t.oldest]], true
-		delete(t.values, t.insertionOrder[t.oldest])
-		t.insertionOrder[t.oldest] = k
-		t.oldest = (t.oldest + 1) % len(t.insertionOrder)
+		evicted, wasEvicted = c.values[c.insertionOrder[c.oldest]], true
+		delete(c.values, c.insertionOrder[c.oldest])
+		c.insertionOrder[c.oldest] = k
+		c.oldest = (c.oldest + 1) % len(c.insertionOrder)
 	}
-	t.values[k] = v
+	c.values[k] = v
 	return evicted, wasEvicted
 }
--- a/logic/invariants_test.go
+++ b/logic/invariants_test.go
@@ -54,10 +54,10 @@
 }
 
 type simulatedAttempt struct {
-	sentAt     time.Duration
-	target     *simulatedMember
-	pending    bool
-	mayHaveRun bool
+	sentAt        time.Duration
+	target        *simulatedMember
+	pending       bool
+	maybeExecuted bool
 }
 
 // pendingAttempt is an attempt that ends at the time due.
@@ -108,33 +108,33 @@
 		w.reportViolation("sent after the final answer")
 	case m.group != q.Group:
 		w.reportViolation("sent outside the group")
-	case w.cfg.DrainOnly && m.listedDraining, !w.cfg.DrainOnly && m.state != Ready:
+	case w.cfg.IgnoreListedGone && m.listedDraining, !w.cfg.IgnoreListedGone && m.state != Ready:
 		w.reportViolation("sent to a draining or gone member")
 	case len(q.attempts) >= w.cfg.MaxAttempts:
 		w.reportViolation("too many attempts")
 	}
 	for _, a := range q.attempts {
-		if a.pending && !w.cfg.Parallel {
+		if a.pending && !w.cfg.ParallelAttempts {
 			w.reportViolation("two attempts at once")
 		}
-		if q.class.Effect == Free || !a.pending && !a.mayHaveRun {
+		if q.class.Effect == EffectIdempotent || !a.pending && !a.maybeExecuted {
 			continue
 		}
-		if q.class.Effect == SingleShot || w.now-a.sentAt > q.class.DedupWindow {
+		if q.class.Effect == EffectNonIdempotent || w.now-a.sentAt > q.class.DedupWindow {
 			w.reportViolation("effect may occur twice")
 		}
 	}
-	if !m.believedPrimary && w.cfg.Checks == ChecksNone {
-		switch q.class.Read {
-		case Bounded:
+	if !m.believedPrimary && w.cfg.ServerChecks == ServerChecksNone {
+		switch q.class.RequiredFreshness {
+		case FreshnessBounded:
 			if m.position < w.now-q.class.MaxAge {
 				w.reportViolation("stale bounded read")
 			}
-		case Session:
+		case FreshnessSession:
 			if m.position < q.token {
 				w.reportViolation("stale session read")
 			}
-		case Fresh:
+		case FreshnessLatest:
 			w.reportViolation("fresh read at a replica")
 		}
 	}
@@ -151,7 +151,7 @@
 func (w *simulation) Refuse(id RequestID, _ time.Duration, _ Refusal) {
 	q := w.submitted[id]
 	for _, a := range q.attempts {
-		if q.class.Effect != Free && (a.pending || a.mayHaveRun) {
+		if q.class.Effect != EffectIdempotent && (a.pending || a.maybeExecuted) {
 			w.reportViolation("refused though it may have been executed")
 		}
 	}
@@ -176,9 +176,9 @@
 		now: 100 * time.Second}
 	w.cfg = testConfig()
 	w.cfg.Seed = seed
-	w.cfg.Carried, w.cfg.Pull = w.rng.IntN(2) == 0, w.rng.IntN(2) == 0
-	w.cfg.Parallel, w.cfg.MayCancel = w.rng.IntN(4) > 0, w.rng.IntN(2) == 0
-	w.cfg.DrainOnly, w.cfg.Fronts = w.rng.IntN(2) == 0, []int{0, 2, 40, 200, -3}[w.rng.IntN(5)]
+	w.cfg.TokensCarried, w.cfg.ListOnRequest = w.rng.IntN(2) == 0, w.rng.IntN(2) == 0
+	w.cfg.ParallelAttempts, w.cfg.MayCancel = w.rng.IntN(4) > 0, w.rng.IntN(2) == 0
+	w.cfg.IgnoreListedGone, w.cfg.Proxies = w.rng.IntN(2) == 0, []int{0, 2, 40, 200, -3}[w.rng.IntN(5)]
 	w.cfg.ListRole, w.cfg.MaxAttempts = ListRole(w.rng.IntN(3)), 1+w.rng.IntN(8)
 	for i := 0; i < 9; i++ {
 		m := &simulatedMember{id: MemberID(i + 1), group: GroupID(i / 5), role: RoleReplica, lag: 20 * ms,
@@ -212,7 +212,7 @@
 	if kind == ListFull && w.rng.IntN(3) == 0 { // one member that doesn't exist, and one listed twice
 		l.Entries = append(l.Entries, Member{ID: 900, Group: 1, State: Ready}, l.Entries[0])
 	}
-	w.router.Members(w.now, l)
+	w.router.MemberList(w.now, l)
 }
 
 // injectFault causes replication lag, an unresponsive member, a drain, a change of primary, an empty list
@@ -220,9 +220,9 @@
 func (w *simulation) injectFault() {
 	m := w.members[w.rng.IntN(len(w.members))]
 	switch w.rng.IntN(8) {
-	case 6: // the list is empty though no member is gone; valid only with DrainOnly
-		if w.cfg.DrainOnly {
-			w.router.Members(w.now, List{Kind: ListFull})
+	case 6: // the list is empty though no member is gone; valid only with IgnoreListedGone
+		if w.cfg.IgnoreListedGone {
+			w.router.MemberList(w.now, List{Kind: ListFull})
 		}
 	case 7:
 		w.advance(time.Duration(300+w.rng.IntN(1700)) * ms)
@@ -256,12 +256,12 @@
 	w.nextID++
 	c := w.rng.IntN(len(w.cfg.Classes))
 	in := Request{ID: w.nextID, Class: c, Group: GroupID(w.rng.IntN(2)), Session: SessionID(1 + w.rng.IntN(6)),
-		Deadline: w.now + w.cfg.Classes[c].Limit*time.Duration(2+w.rng.IntN(99))/100}
+		Deadline: w.now + w.cfg.Classes[c].ClientTimeout*time.Duration(2+w.rng.IntN(99))/100}
 	q := &simulatedRequest{Request: in, class: w.cfg.Classes[c]}
-	if q.class.Read == Session && w.cfg.Carried && w.rng.IntN(3) > 0 {
+	if q.class.RequiredFreshness == FreshnessSession && w.cfg.TokensCarried && w.rng.IntN(3) > 0 {
 		q.TokenAge = time.Duration(1+w.rng.IntN(1500)) * ms
 		q.token = w.now - q.TokenAge
-	} else if q.class.Read == Session && !w.cfg.Carried {
+	} else if q.class.RequiredFreshness == FreshnessSession && !w.cfg.TokensCarried {
 		q.token = w.lastCommits[in.Session]
 	}
 	w.submitted[q.ID] = q
@@ -289,7 +289,7 @@
 	switch k := w.rng.IntN(20); {
 	case w.now >= q.Deadline || m.unresponsive:
 		o.Result = TimedOut
-	case q.class.Read == Write && m.role != RolePrimary:
+	case q.class.RequiredFreshness == FreshnessWrite && m.role != RolePrimary:
 		o.Result = Miss
 	case k == 0:
 		o.Result = Failed
@@ -302,7 +302,7 @@
 	default:
 		o.Result = OK
 	}
-	a.pending, a.mayHaveRun = false, !o.Result.NeverRan()
+	a.pending, a.maybeExecuted = false, !o.Result.NotExecuted()
 	if o.Result == OK || o.Result == Miss || o.Result == Failed || o.Result == Full {
 		o.Role, o.Position = m.role, m.position.Truncate(ms)
 		if m.role != RolePrimary {
@@ -312,12 +312,12 @@
 	if o.Result == OK && !q.ended {
 		q.ended = true
 		q.finalAnswers++
-		if q.class.Read == Write {
+		if q.class.RequiredFreshness == FreshnessWrite {
 			o.Position = w.now
 			w.lastCommits[q.Session] = w.now
 		}
 	}
-	o.Finished = q.ended
+	o.Answered = q.ended
 	w.router.Outcome(w.now, o)
 }
 
@@ -333,19 +333,19 @@
 		w.probes = nil
 		for _, id := range pendingProbes {
 			m := w.findMember(id)
-			p := Probed{Member: id, Took: ms,
+			p := ProbeResult{Member: id, Took: ms,
 				Report: Report{Role: m.role, Position: m.position, Queue: w.randomQueue()}}
 			if m.unresponsive {
-				p = Probed{Member: id, Result: TimedOut, Took: 250 * ms}
+				p = ProbeResult{Member: id, Result: TimedOut, Took: 250 * ms}
 			}
-			w.router.Probed(w.now, p)
+			w.router.ProbeResult(w.now, p)
 		}
 		w.endDueAttempts()
 		if w.rng.IntN(40) == 0 {
 			w.injectFault()
 		}
 		if w.rng.IntN(100) == 0 {
-			w.router.Members(w.now, List{Kind: ListFailed})
+			w.router.MemberList(w.now, List{Kind: ListFailed})
 		}
 		for n := w.rng.IntN(3); n > 0 && i < steps-1800; n-- {
 			w.submit()
@@ -399,30 +399,30 @@
 		},
 		"sent outside the group": func(w *simulation, q *simulatedRequest) { w.Send(q.ID, 9, 0, 0) },
 		"effect may occur twice": func(w *simulation, q *simulatedRequest) {
-			q.class.Effect = SingleShot
-			w.cfg.Parallel = true
+			q.class.Effect = EffectNonIdempotent
+			w.cfg.ParallelAttempts = true
 			w.Send(q.ID, 1, 0, 0)
 			w.Send(q.ID, 1, 0, 0)
 		},
 		"stale bounded read": func(w *simulation, q *simulatedRequest) {
 			w.members[1].position = w.now - time.Hour
-			q.class.Read, q.class.MaxAge = Bounded, time.Second
+			q.class.RequiredFreshness, q.class.MaxAge = FreshnessBounded, time.Second
 			w.Send(q.ID, 2, 0, 0)
 		},
 		"stale session read": func(w *simulation, q *simulatedRequest) {
-			q.class.Read, q.token = Session, w.now
+			q.class.RequiredFreshness, q.token = FreshnessSession, w.now
 			w.Send(q.ID, 2, 0, 0)
 		},
 		"final answer late or twice": func(w *simulation, q *simulatedRequest) { w.Fail(q.ID); w.Fail(q.ID) },
 		"refused though it may have been executed": func(w *simulation, q *simulatedRequest) {
-			q.class.Effect = Guarded
+			q.class.Effect = EffectDeduplicated
 			w.Send(q.ID, 1, 0, 0)
 			w.Refuse(q.ID, 0, RefusedNoTime)
 		},
 	} {
 		w := newSimulation(t, 3)
 		q := &simulatedRequest{Request: Request{ID: 1, Group: 0, Deadline: w.now + time.Second},
-			class: Class{Read: Any, Limit: time.Second}}
+			class: Class{RequiredFreshness: FreshnessAny, ClientTimeout: time.Second}}
 		w.submitted[1] = q
 		w.cfg.MaxAttempts = 8
 		if act(w, q); w.violation != want {
@@ -440,14 +440,14 @@
 	for i := 1; i <= 12; i++ {
 		l.Entries = append(l.Entries, Member{ID: MemberID(i), Group: GroupID(i / 7), State: Ready})
 	}
-	r.Members(now, l)
+	r.MemberList(now, l)
 	now += time.Second
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += ms
 		id := RequestID(i + 1)
 		r.Request(now, Request{ID: id, Class: classAny, Session: SessionID(i), Deadline: now + time.Second})
-		r.Outcome(now, Outcome{Request: id, Member: 1, Result: OK, Finished: true, Role: RoleReplica,
+		r.Outcome(now, Outcome{Request: id, Member: 1, Result: OK, Answered: true, Role: RoleReplica,
 			Position: now})
 	}
 	if len(r.requests) > 0 || len(r.pins.values) > maxSessionEntries {
--- a/logic/large_fleet_test.go
+++ b/logic/large_fleet_test.go
@@ -12,9 +12,9 @@
 	f := newFakeProxy(t, cfg)
 	l := List{Kind: ListCached}
 	for i := range groups * 6 {
-		l.Entries = append(l.Entries, Member{ID: MemberID(i + 1), Group: GroupID(i / 6), State: Ready, Size: 1})
+		l.Entries = append(l.Entries, Member{ID: MemberID(i + 1), Group: GroupID(i / 6), State: Ready, Weight: 1})
 	}
-	f.router.Members(f.now, l)
+	f.router.MemberList(f.now, l)
 	return f
 }
 
@@ -29,7 +29,7 @@
 func TestLargeFleetIsProbedOnlyWhereUsed(t *testing.T) {
 	for _, proxies := range []int{2, 300} {
 		cfg := testConfig()
-		cfg.Fronts = proxies
+		cfg.Proxies = proxies
 		f := newLargeFleet(t, cfg, 500)
 		f.advanceWithoutReplies(2 * time.Second)
 		if len(f.probes) > 0 {
@@ -50,8 +50,8 @@
 
 func TestFirstRequestsInLargeFleetAreServed(t *testing.T) {
 	cfg := testConfig()
-	cfg.Fronts = 300
-	for _, class := range []int{classBounded, classSession, classAny, classGuarded, classUnsafe} {
+	cfg.Proxies = 300
+	for _, class := range []int{classBounded, classSession, classAny, classDeduplicated, classNonIdempotent} {
 		f := newLargeFleet(t, cfg, 500)
 		id := f.submit(class, 7)
 		f.answerProbes() // if the class needs a position or the primary
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,6 +1,6 @@
 // Package logic decides to which member of a replicated database group a proxy sends each read and write.
 //
-// It follows "Driver Read Preferences": the request's class determines the read mode, the members of the
+// It follows "Driver Read Preferences": the request's class determines the freshness, the members of the
 // group are filtered by role and known log position, one is chosen at random among those whose round-trip
 // time is at most 15 ms above the lowest, and the reads of a session stay pinned to a replica. Further
 // mechanisms act only on failures or overload; their doc comments say when. The interface is in api.go,
@@ -30,11 +30,11 @@
 	failureThreshold = 0.35        // two or three consecutive failures exceed it
 	ejectionTime     = time.Second // until the first trial request
 
-	scoreWeightMin  = 0.1 // of an answer while answers are frequent
-	scoreWeightMax  = 0.5 // of an answer long after the previous one
-	scoreWeightAims = 4.0 // the weight is the time since the previous answer, divided by this many Aims
-	scoreOverloaded = 0.5 // above it many answers miss their Aim, as answer times are roughly exponential
-	scoreLate       = 2.0 // of an attempt without an answer in time
+	scoreWeightMin     = 0.1 // of an answer while answers are frequent
+	scoreWeightMax     = 0.5 // of an answer long after the previous one
+	scoreWeightTargets = 4.0 // the weight is the time since the previous answer over this many target latencies
+	scoreOverloaded    = 0.5 // above it many answers miss the target, as answer times are roughly exponential
+	scoreLate          = 2.0 // of an attempt without an answer in time
 
 	initialFleetLimit   = 36.0             // attempts of all proxies in flight at a member that is new
 	recoveredProxyLimit = 3.0              // of each proxy at least; a lower limit recovers to it with time
@@ -57,9 +57,9 @@
 	listRoleDelay           = 5 * time.Second  // assumed age of a role in the list, which is seconds late
 	forgetUnresponsiveAfter = 30 * time.Second // for an unlisted member, if the list is not authoritative
 
-	fallMultipleFraction     = 0.5     // of Config.FallMultiple, as a safety margin for cold members
+	overloadMultipleFraction = 0.5     // of Config.OverloadMultiple, as a safety margin for cold members
 	workWeight               = 0.005   // of one request in the moving averages, which span hundreds
-	initialAimPerServiceTime = 4       // before the first answer: an Aim allows several times the service time
+	targetPerServiceTime     = 4       // assumed before the first answer: Class.TargetLatency / service time
 	serviceTimeQuantile      = 0.3     // of a class's answer times, as its service time without queueing
 	overdueQuantile          = 0.95    // of a class's answer times; a later answer is overdue
 	quantileStep             = 0.05    // relative step by which a quantile estimate moves
@@ -82,8 +82,8 @@
 	r.pins.init(maxSessionEntries)
 	r.commits.init(maxSessionEntries)
 	for i, c := range cfg.Classes {
-		r.serviceTime[i], r.overdueAfter[i] = c.Aim/initialAimPerServiceTime, c.Aim
-		if c.Read == Bounded && (r.minMaxAge == 0 || c.MaxAge < r.minMaxAge) {
+		r.serviceTime[i], r.overdueAfter[i] = c.TargetLatency/targetPerServiceTime, c.TargetLatency
+		if c.RequiredFreshness == FreshnessBounded && (r.minMaxAge == 0 || c.MaxAge < r.minMaxAge) {
 			r.minMaxAge = c.MaxAge
 		}
 	}
@@ -92,8 +92,8 @@
 
 // ---- Members and groups ----
 
-// Members handles an update of the member list.
-func (r *Router) Members(now time.Duration, l List) {
+// MemberList handles an update of the member list.
+func (r *Router) MemberList(now time.Duration, l List) {
 	r.ensureStarted(now)
 	r.listCallEnded(now, l.Kind)
 	if l.Kind == ListFailed {
@@ -134,21 +134,21 @@
 		m = &member{group: g, inFlightLimit: r.proxyShare(initialFleetLimit), coldBudgetUpdatedAt: -1}
 		r.members[e.ID] = m
 		r.orderedMembers = append(r.orderedMembers, m)
-		g.members = append(g.members, m) // it is cold if Born is set, see below
+		g.members = append(g.members, m) // it is cold if StartedAt is set, see below
 	}
-	if e.Born > m.Born { // restarted: its role is unknown, but its position stays valid
-		m.role, m.roleAt = RoleUnknown, e.Born
-		m.coldSince, m.cold = e.Born, true
+	if e.StartedAt > m.StartedAt { // restarted: its role is unknown, but its position stays valid
+		m.role, m.roleAt = RoleUnknown, e.StartedAt
+		m.coldSince, m.cold = e.StartedAt, true
 	}
 	m.listed = e.State != Gone
 	r.hasUnlisted = r.hasUnlisted || !m.listed
-	if r.cfg.DrainOnly && !m.listed { // the list doesn't prove that it is gone; its probes and answers decide
+	if r.cfg.IgnoreListedGone && !m.listed { // probes and answers decide whether it is gone, not the list
 		e.State = m.State
 	}
 	m.Member = e
 	if e.Primary && r.cfg.ListRole != ListRoleNone {
 		// A list is seconds late: its role counts only if the router has observed no newer one itself.
-		at := max(now-listRoleDelay, e.Born)
+		at := max(now-listRoleDelay, e.StartedAt)
 		if m.role == RoleUnknown || at > m.roleAt && r.cfg.ListRole == ListRoleLate {
 			m.role, m.roleAt = RolePrimary, at
 		}
@@ -159,7 +159,7 @@
 // handleUnlisted marks an unlisted member as gone, if the list is authoritative for that. It removes the
 // member if nothing needs it any longer, and tells whether it did.
 func (r *Router) handleUnlisted(now time.Duration, m *member) bool {
-	if m.State != Gone && !r.cfg.DrainOnly {
+	if m.State != Gone && !r.cfg.IgnoreListedGone {
 		m.State = Gone
 		r.updatePrimary(m.group)
 	}
@@ -237,7 +237,7 @@
 func (r *Router) hedge(now time.Duration, m *member) {
 	for _, a := range m.inFlight { // route may append to it, but removes nothing
 		q, age := a.req, now-a.sentAt
-		if !a.overdue && age > max(2*r.overdueAfter[q.Class], q.class.Aim) {
+		if !a.overdue && age > max(2*r.overdueAfter[q.Class], q.class.TargetLatency) {
 			a.overdue = true
 			r.updateFailureRate(now, m, 1)
 			if m.score < scoreOverloaded && !m.unresponsive {
@@ -260,17 +260,19 @@
 // ---- Choice of a member ----
 
 // requiresPrimary tells whether only the primary may serve the class; all other classes prefer replicas.
-func (c *Class) requiresPrimary() bool { return c.Read == Write || c.Read == Fresh }
+func (c *Class) requiresPrimary() bool {
+	return c.RequiredFreshness == FreshnessWrite || c.RequiredFreshness == FreshnessLatest
+}
 
 // isFreshEnough tells whether a replica's position satisfies the request's class. As the known position
 // is a lower bound, the age computed from it is an upper bound.
 func (q *request) isFreshEnough(m *member, now time.Duration) bool {
-	switch q.class.Read {
-	case Any:
+	switch q.class.RequiredFreshness {
+	case FreshnessAny:
 		return true
-	case Bounded:
+	case FreshnessBounded:
 		return m.position > 0 && m.position >= now-q.class.MaxAge
-	case Session:
+	case FreshnessSession:
 		return m.position >= q.token
 	}
 	return false
@@ -321,7 +323,7 @@
 		best = max(best, worth(i))
 	}
 	if q.overQuota {
-		own *= r.cfg.OverShare
+		own *= r.cfg.OverQuotaWorth
 	}
 	if own < best {
 		return max(minLimitFraction, math.Sqrt(own/best))
@@ -329,7 +331,8 @@
 	return 1
 }
 
-// chooseMember returns the member for the request's next attempt, or nil and the reason for a refusal.
+// chooseMember returns the member for the request's next attempt, or nil and the reason for a refusal. With
+// a member it returns the reason to give if send rejects the attempt.
 func (r *Router) chooseMember(now time.Duration, q *request) (*member, Refusal) {
 	groupPrimary, fraction := q.group.primary, r.limitFraction(q)
 	// One draw for all members: if each has room for half an attempt, half of all requests are shed. With a
@@ -341,7 +344,7 @@
 			return nil, RefusedNoPrimary
 		}
 		if r.atLimit(now, groupPrimary, fraction) || !r.withinColdBudget(now, groupPrimary) {
-			return nil, RefusedCrowded
+			return nil, RefusedOverload
 		}
 		return groupPrimary, RefusedNoTime
 	}
@@ -358,7 +361,7 @@
 			}); i >= 0 {
 				return replicas[i], RefusedNoTime
 			}
-			return nil, RefusedCrowded
+			return nil, RefusedOverload
 		}
 	}
 	if m := r.pickReplica(now, q, fraction, func(m *member) bool { return q.isFreshEnough(m, now) }); m != nil {
@@ -367,19 +370,19 @@
 	if r.probeAndWait(now, q, 1, func(m *member) bool {
 		return r.isEligibleReplica(now, q, m) || m == groupPrimary && q.probeRounds > 0
 	}) {
-		return nil, RefusedCrowded
+		return nil, RefusedOverload
 	}
 	if groupPrimary != nil && r.usable(groupPrimary, now) && !q.hasTried(groupPrimary) &&
 		!r.overloaded(now, groupPrimary, primaryReadFraction*fraction) && r.withinColdBudget(now, groupPrimary) {
 		return groupPrimary, RefusedNoTime
 	}
 	// If members check freshness themselves, any replica is safe: one that lags too far rejects the read.
-	if r.cfg.Checks != ChecksNone {
+	if r.cfg.ServerChecks != ServerChecksNone {
 		if m := r.pickReplica(now, q, fraction, func(*member) bool { return true }); m != nil {
 			return m, RefusedNoTime
 		}
 	}
-	return nil, RefusedCrowded
+	return nil, RefusedOverload
 }
 
 // isEligibleReplica tells whether the member is a usable replica that the request has not tried. It doesn't
@@ -427,7 +430,8 @@
 // to the smallest MaxAge. Such a read may stall log replay on its replica. At randomly chosen replicas,
 // such reads would make one replica after the other too stale for bounded reads.
 func (r *Router) isLongRead(q *request) bool {
-	return q.class.Read == Any && r.minMaxAge > 0 && r.serviceTime[q.Class] > r.minMaxAge/longReadDivisor
+	return q.class.RequiredFreshness == FreshnessAny && r.minMaxAge > 0 &&
+		r.serviceTime[q.Class] > r.minMaxAge/longReadDivisor
 }
 
 // longReadReplicas returns the replicas for long reads: those furthest behind, in proportion to the part
@@ -467,7 +471,7 @@
 		serviceTime = 0
 	}
 	q.group.meanLongWork += workWeight * (serviceTime - q.group.meanLongWork)
-	if q.class.Read == Bounded {
+	if q.class.RequiredFreshness == FreshnessBounded {
 		r.lastBoundedReadAt = now
 	}
 	q.token = r.sessionToken(now, &in)
@@ -496,7 +500,7 @@
 // that is the newest evicted one. A pending write may have been committed and answered, and its answer
 // lost on the way; its commit counts as known after commitKnownAfter.
 func (r *Router) sessionToken(now time.Duration, in *Request) time.Duration {
-	if r.cfg.Carried {
+	if r.cfg.TokensCarried {
 		if in.TokenAge > 0 {
 			return now - in.TokenAge
 		}
@@ -565,7 +569,8 @@
 // or 0 if there is no limit. The age of the data counts from the sending, which a new connection may
 // delay for too long.
 func (r *Router) freshUntil(q *request, m *member) time.Duration {
-	if q.class.Read != Bounded || m == q.group.primary || r.cfg.Checks != ChecksNone {
+	if q.class.RequiredFreshness != FreshnessBounded || m == q.group.primary ||
+		r.cfg.ServerChecks != ServerChecksNone {
 		return 0
 	}
 	return m.position + q.class.MaxAge
@@ -574,14 +579,14 @@
 // effectAllowsAttempt tells whether another attempt can't cause the request's effect twice. Pending
 // attempts count as possibly executed.
 func (r *Router) effectAllowsAttempt(now time.Duration, q *request, m *member) bool {
-	if !r.cfg.Parallel && q.pending() {
+	if !r.cfg.ParallelAttempts && q.pending() {
 		return false
 	}
 	for _, a := range q.attempts {
 		switch {
-		case q.class.Effect == Free || !a.pending && !a.mayHaveRun:
-		case q.class.Effect == SingleShot, now-a.sentAt >= q.class.DedupWindow-r.cfg.Tick,
-			q.class.Scope == ScopeZone && a.target.Zone != m.Zone:
+		case q.class.Effect == EffectIdempotent || !a.pending && !a.maybeExecuted:
+		case q.class.Effect == EffectNonIdempotent, now-a.sentAt >= q.class.DedupWindow-r.cfg.Tick,
+			q.class.DedupScope == KeyScopeZone && a.target.Zone != m.Zone:
 			return false
 		}
 	}
@@ -594,12 +599,12 @@
 		return
 	}
 	q.done = true
-	if !q.mayHaveRun && !q.pending() || q.class.Effect == Free ||
-		q.class.Effect == Guarded && q.class.Scope == ScopeAll {
+	if !q.maybeExecuted && !q.pending() || q.class.Effect == EffectIdempotent ||
+		q.class.Effect == EffectDeduplicated && q.class.DedupScope == KeyScopeAll {
 		// Jitter keeps refused clients from retrying at the same time.
 		retryAfter := reason.retryAfter()
-		retryAfter = min(retryAfter/2+time.Duration(r.rng.Int64N(int64(retryAfter)+1)), r.cfg.MaxComeBack)
-		if !r.cfg.MayComeBack {
+		retryAfter = min(retryAfter/2+time.Duration(r.rng.Int64N(int64(retryAfter)+1)), r.cfg.MaxRetryAfter)
+		if !r.cfg.MaySendRetryAfter {
 			retryAfter = 0
 		}
 		if !q.overQuota && q.Tenant >= 0 && q.Tenant < len(r.tenantUsage) {
@@ -626,9 +631,9 @@
 	}
 }
 
-// Started handles the start of a streamed answer: as the client has part of it, no further attempt may be
-// sent.
-func (r *Router) Started(now time.Duration, id RequestID, _ int) {
+// AnswerStarted handles the start of a streamed answer: as the client has part of it, no further attempt
+// may be sent.
+func (r *Router) AnswerStarted(now time.Duration, id RequestID, _ int) {
 	r.ensureStarted(now)
 	if q := r.requests[id]; q != nil {
 		q.done = true
@@ -643,7 +648,7 @@
 		q.done = true
 		for _, a := range q.attempts {
 			if a.pending {
-				r.score(now, a.target, q.class.Aim, scoreLate)
+				r.score(now, a.target, q.class.TargetLatency, scoreLate)
 			}
 		}
 		r.forgetOrCancel(q)
@@ -660,19 +665,19 @@
 	a := q.attempts[o.Attempt]
 	a.pending = false
 	a.target.inFlight = slices.DeleteFunc(a.target.inFlight, func(x *attempt) bool { return x == a })
-	a.mayHaveRun = !o.Result.NeverRan()
-	q.mayHaveRun = q.mayHaveRun || a.mayHaveRun
+	a.maybeExecuted = !o.Result.NotExecuted()
+	q.maybeExecuted = q.maybeExecuted || a.maybeExecuted
 	if r.tracksCommit(q) {
 		if r.openWrites[q.Session]--; r.openWrites[q.Session] == 0 {
 			delete(r.openWrites, q.Session)
 		}
 	}
 	r.recordOutcome(now, a, o)
-	if q.done = q.done || o.Finished; q.done {
+	if q.done = q.done || o.Answered; q.done {
 		r.forgetOrCancel(q)
 		return
 	}
-	ok, reason := false, RefusedCrowded
+	ok, reason := false, RefusedOverload
 	if r.mayRetry(now, q) {
 		ok, reason = r.route(now, q)
 	}
@@ -692,46 +697,48 @@
 // and pin.
 func (r *Router) recordOutcome(now time.Duration, a *attempt, o Outcome) {
 	q, m := a.req, a.target
-	if a.mayHaveRun && o.Result != OK && r.tracksCommit(q) { // it may have been committed at any time until now
+	if a.maybeExecuted && o.Result != OK && r.tracksCommit(q) { // its commit may be as late as now
 		r.recordCommit(q.Session, now, now)
 	}
 	switch o.Result {
 	case OK, Miss, Failed, Full:
 		r.recordReply(m, now)
 		role, position := o.Role, o.Position
-		if q.class.Read == Write && o.Result == Miss && role == RoleUnknown {
+		if q.class.RequiredFreshness == FreshnessWrite && o.Result == Miss && role == RoleUnknown {
 			role = RoleReplica
 		}
-		if q.class.Read == Write && o.Result == OK { // the position is that of the commit, not of the member
+		// The position is that of the commit, not of the member.
+		if q.class.RequiredFreshness == FreshnessWrite && o.Result == OK {
 			if r.tracksCommit(q) {
 				r.recordCommit(q.Session, position, now)
 			}
 			position = 0
 		}
 		r.updateRoleAndPosition(m, role, position, now, now)
-		if o.Load.Queue >= 0 {
-			m.reportedQueue, m.queueReportedAt = o.Load.Queue, now
+		if o.LoadReport.Queue >= 0 {
+			m.reportedQueue, m.queueReportedAt = o.LoadReport.Queue, now
 		}
-		r.updateRoleAndPosition(m, o.Load.Role, o.Load.Position, cmp.Or(o.Load.Position, now), now)
+		r.updateRoleAndPosition(m, o.LoadReport.Role, o.LoadReport.Position,
+			cmp.Or(o.LoadReport.Position, now), now)
 	}
 	switch o.Result {
 	case OK:
 		took := now - a.sentAt
 		updateQuantile(&r.serviceTime[q.Class], took, serviceTimeQuantile)
 		updateQuantile(&r.overdueAfter[q.Class], took, overdueQuantile)
-		r.score(now, m, q.class.Aim, min(float64(took)/float64(q.class.Aim), scoreLate))
+		r.score(now, m, q.class.TargetLatency, min(float64(took)/float64(q.class.TargetLatency), scoreLate))
 		r.updateFailureRate(now, m, 0)
 		r.lostAnswerRate -= lostAnswerWeight * r.lostAnswerRate
-		if q.class.Read != Write && q.Session != 0 && m.role == RoleReplica {
+		if q.class.RequiredFreshness != FreshnessWrite && q.Session != 0 && m.role == RoleReplica {
 			r.pins.put(q.pinKey(), pin{m, q.group.term})
 		}
 	case TimedOut:
 		if !r.losesAnswers(m) {
-			r.score(now, m, q.class.Aim, scoreLate)
+			r.score(now, m, q.class.TargetLatency, scoreLate)
 		}
 	case Failed, Full, ConnectFailed, Reset:
 		if r.updateFailureRate(now, m, 1); o.Result == Full {
-			r.score(now, m, q.class.Aim, scoreLate)
+			r.score(now, m, q.class.TargetLatency, scoreLate)
 		}
 		if o.Result == ConnectFailed {
 			r.sendProbe(now, m)
@@ -755,7 +762,7 @@
 
 // tracksCommit tells whether the router must track the request's commit for later reads of its session.
 func (r *Router) tracksCommit(q *request) bool {
-	return q.class.Read == Write && q.Session != 0 && !r.cfg.Carried
+	return q.class.RequiredFreshness == FreshnessWrite && q.Session != 0 && !r.cfg.TokensCarried
 }
 
 // recordCommit records the newest commit of a session.
@@ -775,14 +782,15 @@
 	*estimate += time.Duration(quantile * quantileStep * float64(*estimate))
 }
 
-// score adds the ratio of an answer time to its Aim to the member's score, and adapts the member's limit
-// to the score. This protects against overload, and against members that answer probes fast but requests
-// slowly.
-func (r *Router) score(now time.Duration, m *member, aim time.Duration, ratio float64) {
+// score adds the ratio of an answer time to its target latency to the member's score, and adapts the
+// member's limit to the score. This protects against overload, and against members that answer probes fast
+// but requests slowly.
+func (r *Router) score(now time.Duration, m *member, target time.Duration, ratio float64) {
 	if r.wasStalled(now) {
 		return
 	}
-	weight := min(max(float64(now-m.scoredAt)/(scoreWeightAims*float64(aim)), scoreWeightMin), scoreWeightMax)
+	weight := min(max(float64(now-m.scoredAt)/(scoreWeightTargets*float64(target)), scoreWeightMin),
+		scoreWeightMax)
 	m.scoredAt = now
 	m.score += weight * (ratio - m.score)
 	inFlight := float64(len(m.inFlight) + 1)
@@ -797,22 +805,22 @@
 }
 
 // proxyShare returns this proxy's share of a total for all proxies.
-func (r *Router) proxyShare(total float64) float64 { return total / float64(max(r.cfg.Fronts, 1)) }
+func (r *Router) proxyShare(total float64) float64 { return total / float64(max(r.cfg.Proxies, 1)) }
 
 // withinColdBudget tells whether a cold member's budget allows another request. The budget prevents an
 // overload after a restart: it is refilled with the member's fraction of warm capacity, times this
-// proxy's work per member of the group, times half of Config.FallMultiple. It starts with a random debt
+// proxy's work per member of the group, times half of Config.OverloadMultiple. It starts with a random debt
 // and never exceeds zero, so that the total of all proxies is bounded.
 func (r *Router) withinColdBudget(now time.Duration, m *member) bool {
-	if m.cold = m.cold && now-m.coldSince < r.cfg.Cold; !m.cold {
+	if m.cold = m.cold && now-m.coldSince < r.cfg.ColdDuration; !m.cold {
 		return true
 	}
-	capacityShare := r.cfg.ColdShare +
-		(1-r.cfg.ColdShare)*max(0, float64(now-m.coldSince))/float64(r.cfg.Cold)
+	capacityShare := r.cfg.ColdCapacity +
+		(1-r.cfg.ColdCapacity)*max(0, float64(now-m.coldSince))/float64(r.cfg.ColdDuration)
 	if m.coldBudgetUpdatedAt < m.coldSince {
 		m.coldBudget, m.coldBudgetUpdatedAt = -r.rng.Float64()*m.group.meanWork, now
 	}
-	capacityShare *= max(r.cfg.FallMultiple*fallMultipleFraction, 1) / float64(len(m.group.members))
+	capacityShare *= max(r.cfg.OverloadMultiple*overloadMultipleFraction, 1) / float64(len(m.group.members))
 	refillRate := capacityShare * r.requestRate(now, m.group) * m.group.meanWork
 	m.coldBudget, m.coldBudgetUpdatedAt =
 		min(m.coldBudget+refillRate*(now-m.coldBudgetUpdatedAt).Seconds(), 0), now
--- a/logic/many_proxies_test.go
+++ b/logic/many_proxies_test.go
@@ -10,7 +10,7 @@
 
 func manyProxiesConfig() Config {
 	cfg := testConfig()
-	cfg.Fronts = 170
+	cfg.Proxies = 170
 	return cfg
 }
 
@@ -75,7 +75,7 @@
 func TestLowTrafficRefusesNothing(t *testing.T) {
 	for _, proxies := range []int{0, 1, 2, 40, 200, 100000} {
 		cfg := testConfig()
-		cfg.Fronts = proxies
+		cfg.Proxies = proxies
 		f := newSettledProxy(t, cfg, 6)
 		for i := 0; i < 400; i++ {
 			f.advance(100 * ms)
@@ -87,7 +87,7 @@
 				t.Fatalf("%d proxies: class %d sent %d times, final answer %q",
 					proxies, class, f.sendCount(id), f.finalAnswers[id])
 			}
-			f.serve(id, cfg.Classes[class].Aim/8)
+			f.serve(id, cfg.Classes[class].TargetLatency/8)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 func TestColdMemberLoadIsBoundedOverAllProxies(t *testing.T) {
 	const proxies, members, perSecond = 150, 6, 300 // of all proxies; about 60 at each warm replica
 	cfg := manyProxiesConfig()
-	cfg.Fronts = proxies
+	cfg.Proxies = proxies
 	sent, warm := 0, 0
 	for i := 0; i < proxies; i++ {
 		cfg.Seed = uint64(i)
@@ -114,7 +114,7 @@
 		}
 		runSteps(1500)
 		f.sends = nil
-		f.router.Members(f.now, List{Entries: []Member{{ID: 2, State: Ready, Born: f.now}}})
+		f.router.MemberList(f.now, List{Entries: []Member{{ID: 2, State: Ready, StartedAt: f.now}}})
 		runSteps(300)
 		for _, s := range f.sends {
 			switch s.to {
@@ -140,23 +140,24 @@
 	for id := MemberID(1); id <= 4; id++ {
 		gone = append(gone, Member{ID: id, State: Gone})
 	}
-	for _, drainOnly := range []bool{true, false} {
+	for _, ignoreListedGone := range []bool{true, false} {
 		cfg := testConfig()
-		cfg.DrainOnly = drainOnly
+		cfg.IgnoreListedGone = ignoreListedGone
 		f := newSettledProxy(t, cfg, 4)
 		for _, l := range []List{{Kind: ListFull}, {Entries: gone}} {
-			f.router.Members(f.now, l)
+			f.router.MemberList(f.now, l)
 			f.advance(500 * ms)
-			if id := f.submit(classAny, 0); (f.sendCount(id) == 1) != drainOnly {
-				t.Errorf("DrainOnly %v: %d sends after the list omitted all members", drainOnly, f.sendCount(id))
+			if id := f.submit(classAny, 0); (f.sendCount(id) == 1) != ignoreListedGone {
+				t.Errorf("IgnoreListedGone %v: %d sends after the list omitted all members",
+					ignoreListedGone, f.sendCount(id))
 			}
 		}
 	}
 	cfg := testConfig()
-	cfg.DrainOnly = true
+	cfg.IgnoreListedGone = true
 	f := newSettledProxy(t, cfg, 2)
-	f.router.Members(f.now, List{Entries: []Member{{ID: 2, State: Draining}}})
-	f.router.Members(f.now, List{Entries: []Member{{ID: 2, State: Gone}}})
+	f.router.MemberList(f.now, List{Entries: []Member{{ID: 2, State: Draining}}})
+	f.router.MemberList(f.now, List{Entries: []Member{{ID: 2, State: Gone}}})
 	for i := 0; i < 20; i++ {
 		if s, ok := f.lastSend(f.submit(classAny, 0)); ok && s.to == 2 {
 			t.Fatal("sent to a member that had been listed as draining")
@@ -167,13 +168,13 @@
 // A member that a non-authoritative list omits is removed once it has been unresponsive for long.
 func TestUnlistedUnresponsiveMembersAreForgotten(t *testing.T) {
 	cfg := testConfig()
-	cfg.DrainOnly = true
+	cfg.IgnoreListedGone = true
 	f := newSettledProxy(t, cfg, 4)
 	f.updateList(ListFull, 3)
 	for i := 0; i < 300; i++ {
 		f.advance(200*ms, 4)
 		for _, id := range []MemberID{4} { // its probes time out
-			f.router.Probed(f.now, Probed{Member: id, Result: TimedOut})
+			f.router.ProbeResult(f.now, ProbeResult{Member: id, Result: TimedOut})
 		}
 		f.updateList(ListFull, 3)
 	}
@@ -203,7 +204,7 @@
 				if f.sendCount(id) > 1 {
 					f.end(f.mustBeSent(id), OK)
 					f.router.Outcome(f.now, Outcome{Request: id, Attempt: s.number, Member: s.to, Result: Cancelled,
-						Finished: true})
+						Answered: true})
 				} else {
 					f.advance(300 * ms)
 					f.end(s, TimedOut)
@@ -246,7 +247,7 @@
 	f := newSettledProxy(t, testConfig(), 3)
 	report := func(m MemberID, reportedQueue float64) {
 		f.router.members[m].probing = true
-		f.router.Probed(f.now, Probed{Member: m, Took: ms,
+		f.router.ProbeResult(f.now, ProbeResult{Member: m, Took: ms,
 			Report: Report{Role: RoleReplica, Position: f.now, Queue: reportedQueue}})
 	}
 	report(2, 5)
@@ -291,7 +292,7 @@
 		}
 	}
 	f.advance(20 * ms)
-	if id := f.submit(classUnsafe, 1); f.sendCount(id) != 1 {
+	if id := f.submit(classNonIdempotent, 1); f.sendCount(id) != 1 {
 		t.Error("a write was not sent after a stall")
 	}
 }
@@ -339,7 +340,7 @@
 		f.router.Request(f.now, Request{ID: f.nextID, Class: classSession, Deadline: f.now + 30*ms})
 		return f.nextID
 	}
-	id := submitShort() // the Aim is 400 ms; the service time has not been measured yet
+	id := submitShort() // the target latency is 400 ms; the service time has not been measured yet
 	f.wantFinalAnswer(id, "refused")
 	if f.sendCount(id) != 0 {
 		t.Error("sent with 30 ms left though the class is estimated to take 100 ms")
@@ -359,7 +360,8 @@
 func TestStallChangesNoLimit(t *testing.T) {
 	f := newSettledProxy(t, testConfig(), 3)
 	before := f.router.members[1].inFlightLimit
-	ids := []RequestID{f.submit(classUnsafe, 1), f.submit(classUnsafe, 2), f.submit(classUnsafe, 3)}
+	ids := []RequestID{f.submit(classNonIdempotent, 1), f.submit(classNonIdempotent, 2),
+		f.submit(classNonIdempotent, 3)}
 	f.now += 900 * ms
 	f.end(f.mustBeSent(ids[0]), OK)
 	f.router.Timer(f.now, tickTimer)
--- a/logic/probing.go
+++ b/logic/probing.go
@@ -45,7 +45,7 @@
 	}
 	r.started, r.startedAt = true, now
 	r.proxy.SetTimer(tickTimer, now+max(minTickInterval, r.cfg.Tick))
-	if r.cfg.Pull {
+	if r.cfg.ListOnRequest {
 		r.callList(now)
 	}
 }
@@ -151,8 +151,8 @@
 	}
 }
 
-// Probed handles the result of a probe.
-func (r *Router) Probed(now time.Duration, p Probed) {
+// ProbeResult handles the result of a probe.
+func (r *Router) ProbeResult(now time.Duration, p ProbeResult) {
 	r.ensureStarted(now)
 	m := r.members[p.Member]
 	if m == nil || !m.probing {
@@ -170,7 +170,7 @@
 		r.updateRoleAndPosition(m, p.Report.Role, p.Report.Position, cmp.Or(p.Report.Position, now), now)
 	case Full, Miss, Failed:
 		r.recordReply(m, now)
-	case Moot: // the probe was not sent
+	case NotSent: // the probe was not sent
 	default:
 		if m.lastReplyAt <= m.probedAt {
 			r.markUnresponsive(m, now)
@@ -212,7 +212,7 @@
 // members and for the number of this proxy's requests.
 func (r *Router) isLowTraffic(now time.Duration, g *group) bool {
 	probeRate := 1 / r.probeInterval(now).Seconds()
-	tooManyProbes := r.isLargeFleet() || probeRate*float64(r.cfg.Fronts) > maxProbeRatePerMember
+	tooManyProbes := r.isLargeFleet() || probeRate*float64(r.cfg.Proxies) > maxProbeRatePerMember
 	return tooManyProbes && probeRate*float64(len(g.members)) > maxProbesPerRequest*r.requestRate(now, g)
 }
 
--- a/logic/logic_test.go
+++ b/logic/router_test.go
@@ -8,13 +8,13 @@
 
 func TestNewNamesInvalidField(t *testing.T) {
 	for want, invalidate := range map[string]func(*Config){
-		"Config.Classes is empty": func(c *Config) { c.Classes = nil },
-		"Config.Tick":             func(c *Config) { c.Tick = 0 },
-		"Config.ColdShare":        func(c *Config) { c.ColdShare = 2 },
-		"Classes[0] (bounded)":    func(c *Config) { c.Classes[0].MaxAge = 0 },
-		"Classes[1] (session)":    func(c *Config) { c.Classes[1].Aim = 0 },
-		"needs DedupWindow":       func(c *Config) { c.Classes[3].DedupWindow = 0 },
-		"unknown Read or Effect":  func(c *Config) { c.Classes[2].Read = 99 },
+		"Config.Classes is empty":             func(c *Config) { c.Classes = nil },
+		"Config.Tick":                         func(c *Config) { c.Tick = 0 },
+		"Config.ColdCapacity":                 func(c *Config) { c.ColdCapacity = 2 },
+		"Classes[0] (bounded)":                func(c *Config) { c.Classes[0].MaxAge = 0 },
+		"Classes[1] (session)":                func(c *Config) { c.Classes[1].TargetLatency = 0 },
+		"needs DedupWindow":                   func(c *Config) { c.Classes[3].DedupWindow = 0 },
+		"unknown RequiredFreshness or Effect": func(c *Config) { c.Classes[2].RequiredFreshness = 99 },
 	} {
 		cfg := testConfig()
 		invalidate(&cfg)
@@ -32,7 +32,7 @@
 				t.Fatalf("class %d went to the primary though replicas are fresh enough", c)
 			}
 		}
-		for _, c := range []int{classGuarded, classUnsafe, classFresh} {
+		for _, c := range []int{classDeduplicated, classNonIdempotent, classLatest} {
 			if s := f.serve(f.submit(c, 0), ms); s.to != 1 {
 				t.Fatalf("class %d went to member %d, not the primary", c, s.to)
 			}
@@ -51,7 +51,7 @@
 		if m == 1 {
 			report.Role = RolePrimary
 		}
-		f.router.Probed(f.now, Probed{Member: m, Took: rtt, Report: report})
+		f.router.ProbeResult(f.now, ProbeResult{Member: m, Took: rtt, Report: report})
 	}
 	seen := map[MemberID]int{}
 	for i := 0; i < 60; i++ {
@@ -89,9 +89,9 @@
 
 func TestSessionReadSeesItsWrites(t *testing.T) {
 	f := newSettledProxy(t, testConfig(), 3)
-	write := f.mustBeSent(f.submit(classGuarded, 9))
+	write := f.mustBeSent(f.submit(classDeduplicated, 9))
 	f.now += 20 * ms
-	f.router.Outcome(f.now, Outcome{Request: write.id, Member: 1, Result: OK, Finished: true, Role: RolePrimary,
+	f.router.Outcome(f.now, Outcome{Request: write.id, Member: 1, Result: OK, Answered: true, Role: RolePrimary,
 		Position: f.now})
 	if s := f.mustBeSent(f.submit(classSession, 9)); s.to != 1 {
 		t.Errorf("the read went to replica %d, which is not known to have the write", s.to)
@@ -110,7 +110,7 @@
 func TestSessionReadSeesPendingWrites(t *testing.T) {
 	for _, end := range []Result{TimedOut, Reset, Failed, Cancelled} {
 		f := newSettledProxy(t, testConfig(), 3)
-		write := f.mustBeSent(f.submit(classUnsafe, 9))
+		write := f.mustBeSent(f.submit(classNonIdempotent, 9))
 		if s := f.serve(f.submit(classSession, 9), ms); s.to == 1 {
 			t.Error("a write pending for less than commitKnownAfter keeps reads from the replicas")
 		}
@@ -134,7 +134,7 @@
 		}
 	}
 	f := newSettledProxy(t, testConfig(), 3)
-	for write := f.submit(classUnsafe, 9); f.finalAnswers[write] == ""; {
+	for write := f.submit(classNonIdempotent, 9); f.finalAnswers[write] == ""; {
 		f.end(f.mustBeSent(write), Full)
 	}
 	if s := f.serve(f.submit(classSession, 9), ms); s.to == 1 {
@@ -154,7 +154,7 @@
 		t.Errorf("the read at %d may be sent until %v, its data is fresh enough until %v",
 			s.to, s.notAfter, m.position+bound)
 	}
-	if s := f.mustBeSent(f.submit(classFresh, 0)); s.to != 1 || s.notAfter != 0 {
+	if s := f.mustBeSent(f.submit(classLatest, 0)); s.to != 1 || s.notAfter != 0 {
 		t.Errorf("a read at the primary may be sent until %v, want no limit: its data is current", s.notAfter)
 	}
 }
@@ -174,7 +174,7 @@
 
 func TestCarriedToken(t *testing.T) {
 	cfg := testConfig()
-	cfg.Carried = true
+	cfg.TokensCarried = true
 	f := newSettledProxy(t, cfg, 3)
 	send := func(age time.Duration) MemberID {
 		f.nextID++
@@ -196,7 +196,7 @@
 	f.advance(20*ms, 1)
 	f.now += 400 * ms
 	f.router.Timer(f.now, tickTimer)
-	id := f.submit(classUnsafe, 3)
+	id := f.submit(classNonIdempotent, 3)
 	f.wantFinalAnswer(id, "refused")
 	if f.sendCount(id) != 0 || f.retryHints[id] == 0 {
 		t.Errorf("%d sends and retry-after hint %v, want no send and a hint", f.sendCount(id), f.retryHints[id])
@@ -206,7 +206,7 @@
 func TestNewRouterWaitsForFirstProbes(t *testing.T) {
 	f := newFakeProxy(t, testConfig())
 	f.updateList(ListCached, 3)
-	write, read := f.submit(classUnsafe, 1), f.submit(classBounded, 0)
+	write, read := f.submit(classNonIdempotent, 1), f.submit(classBounded, 0)
 	if len(f.sends) != 0 || len(f.finalAnswers) != 0 {
 		t.Fatalf("sends %v, final answers %v before any probe was answered", f.sends, f.finalAnswers)
 	}
@@ -219,12 +219,12 @@
 
 func TestMissOnWriteDemotesPrimary(t *testing.T) {
 	f := newSettledProxy(t, testConfig(), 3)
-	s := f.mustBeSent(f.submit(classUnsafe, 1))
+	s := f.mustBeSent(f.submit(classNonIdempotent, 1))
 	f.now += 2 * ms
 	f.router.Outcome(f.now, Outcome{Request: s.id, Member: s.to, Result: Miss, Role: RoleReplica,
 		Position: f.now - 10*ms})
 	f.wantFinalAnswer(s.id, "refused")
-	id := f.submit(classUnsafe, 1)
+	id := f.submit(classNonIdempotent, 1)
 	f.wantFinalAnswer(id, "refused")
 	if f.sendCount(id) != 0 {
 		t.Error("a write was sent to a member that had just rejected one because it is a replica")
@@ -238,10 +238,10 @@
 		sends int
 		final string
 	}{
-		{classUnsafe, TimedOut, 1, "failed"},
-		{classUnsafe, Failed, 1, "failed"},
-		{classUnsafe, Full, 3, "refused"},
-		{classGuarded, Failed, 3, "failed"},
+		{classNonIdempotent, TimedOut, 1, "failed"},
+		{classNonIdempotent, Failed, 1, "failed"},
+		{classNonIdempotent, Full, 3, "refused"},
+		{classDeduplicated, Failed, 3, "failed"},
 		{classBounded, Failed, 3, "refused"},
 	} {
 		f := newSettledProxy(t, testConfig(), 4)
@@ -257,13 +257,13 @@
 	}
 }
 
-func TestNoGuardedRetryAfterDedupWindow(t *testing.T) {
+func TestNoDeduplicatedRetryAfterDedupWindow(t *testing.T) {
 	f := newSettledProxy(t, testConfig(), 3)
-	id := f.submit(classGuarded, 1)
+	id := f.submit(classDeduplicated, 1)
 	f.advance(1195 * ms)
 	f.end(f.mustBeSent(id), Failed)
 	if f.sendCount(id) != 1 {
-		t.Error("a guarded write was repeated after its dedup window")
+		t.Error("a deduplicated write was repeated after its dedup window")
 	}
 	f.wantFinalAnswer(id, "failed")
 }
@@ -308,10 +308,10 @@
 		f.router.Timer(f.now, tickTimer)
 	}
 	for _, m := range f.probes {
-		f.router.Probed(f.now, Probed{Member: m, Result: Moot})
+		f.router.ProbeResult(f.now, ProbeResult{Member: m, Result: NotSent})
 	}
 	f.serve(f.submit(classAny, 0), 0)
-	if s := f.serve(f.submit(classUnsafe, 1), 0); s.to != 1 {
+	if s := f.serve(f.submit(classNonIdempotent, 1), 0); s.to != 1 {
 		t.Errorf("the write went to %d, want the primary", s.to)
 	}
 }
@@ -319,7 +319,7 @@
 func TestWritesAreRefusedIfPrimaryIsUnresponsive(t *testing.T) {
 	f := newSettledProxy(t, testConfig(), 3)
 	f.advance(1500*ms, 1)
-	id := f.submit(classUnsafe, 1)
+	id := f.submit(classNonIdempotent, 1)
 	f.wantFinalAnswer(id, "refused")
 	if f.sendCount(id) != 0 {
 		t.Error("a write was sent to an unresponsive primary")
@@ -411,7 +411,7 @@
 	for i, state := range []MemberState{Draining, Gone} {
 		e := newEntry(2 + i)
 		e.State = state
-		f.router.Members(f.now, List{Kind: ListDelta, Entries: []Member{e}})
+		f.router.MemberList(f.now, List{Kind: ListDelta, Entries: []Member{e}})
 		for j := 0; j < 20; j++ {
 			if s := f.serve(f.submit(classBounded, 0), 0); int(s.to) == 2+i {
 				t.Fatalf("a read went to a member in state %d", state)
@@ -429,8 +429,8 @@
 		f.advance(10 * ms)
 	}
 	e := newEntry(3)
-	e.Born = f.now
-	f.router.Members(f.now, List{Kind: ListDelta, Entries: []Member{e}})
+	e.StartedAt = f.now
+	f.router.MemberList(f.now, List{Kind: ListDelta, Entries: []Member{e}})
 	got := map[MemberID]int{}
 	for i := 0; i < 300; i++ {
 		got[f.serve(f.submit(classBounded, 0), 5*ms).to]++
@@ -446,8 +446,8 @@
 	f := newSettledProxy(t, testConfig(), 5)
 	pinned := f.serve(f.submit(classSession, 9), 10*ms).to
 	e := newEntry(int(pinned))
-	e.Born = f.now
-	f.router.Members(f.now, List{Kind: ListDelta, Entries: []Member{e}})
+	e.StartedAt = f.now
+	f.router.MemberList(f.now, List{Kind: ListDelta, Entries: []Member{e}})
 	f.advance(20 * ms)
 	for i := range 20 {
 		id := f.submit(classSession, 9)
@@ -460,14 +460,14 @@
 
 func TestUnusualEvents(t *testing.T) {
 	cfg := testConfig()
-	cfg.Pull = true
+	cfg.ListOnRequest = true
 	f := newFakeProxy(t, cfg)
 	f.router.Outcome(f.now, Outcome{Request: 99, Result: OK})
 	f.router.Abandoned(f.now, 99)
-	f.router.Started(f.now, 99, 0)
+	f.router.AnswerStarted(f.now, 99, 0)
 	f.router.Timer(f.now, 12345)
-	f.router.Probed(f.now, Probed{Member: 77})
-	f.router.Members(f.now, List{Kind: ListFailed})
+	f.router.ProbeResult(f.now, ProbeResult{Member: 77})
+	f.router.MemberList(f.now, List{Kind: ListFailed})
 	f.updateList(ListFull, 3)
 	f.advance(400 * ms)
 	f.nextID++
@@ -477,10 +477,10 @@
 	f.router.Request(f.now, Request{ID: f.nextID, Class: 1000, Deadline: f.now + time.Second})
 	f.wantFinalAnswer(f.nextID, "failed")
 	s := f.mustBeSent(f.submit(classBounded, 0))
-	f.router.Members(f.now, List{Kind: ListFull, Entries: []Member{newEntry(1)}}) // the read's member is gone
+	f.router.MemberList(f.now, List{Kind: ListFull, Entries: []Member{newEntry(1)}}) // the read's member is gone
 	f.end(s, OK)
 	f.end(s, OK)
-	f.router.Members(f.now, List{Kind: ListFull, Entries: []Member{newEntry(1)}})
+	f.router.MemberList(f.now, List{Kind: ListFull, Entries: []Member{newEntry(1)}})
 	if len(f.router.requests) != 0 || len(f.router.orderedMembers) != 1 {
 		t.Errorf("%d requests and %d members kept, want 0 and 1",
 			len(f.router.requests), len(f.router.orderedMembers))
@@ -496,9 +496,9 @@
 		least, most time.Duration
 	}{{false, 250 * ms, 760 * ms}, {true, 20 * ms, 110 * ms}} {
 		cfg := testConfig()
-		cfg.Pull, cfg.Agent = true, c.agent
+		cfg.ListOnRequest, cfg.LocalAgent = true, c.agent
 		f := newFakeProxy(t, cfg)
-		f.router.Members(f.now, List{Kind: ListFailed})
+		f.router.MemberList(f.now, List{Kind: ListFailed})
 		for failed, i := f.now, 0; i < 1000; i++ {
 			before := f.watches
 			f.now += 10 * ms
@@ -510,7 +510,7 @@
 				t.Errorf("agent %v: a call %v after the last one failed, want %v to %v",
 					c.agent, pause, c.least, c.most)
 			}
-			f.router.Members(f.now, List{Kind: ListFailed})
+			f.router.MemberList(f.now, List{Kind: ListFailed})
 			failed = f.now
 		}
 		if least := int(10 * time.Second / c.most); f.watches < least {
@@ -525,24 +525,24 @@
 	f := newSettledProxy(t, testConfig(), 3)
 	var writes []RequestID
 	for i := 0; i < 3; i++ {
-		writes = append(writes, f.submit(classUnsafe, 1))
+		writes = append(writes, f.submit(classNonIdempotent, 1))
 		f.mustBeSent(writes[i])
 	}
 	f.advance(400 * ms)
-	if id := f.submit(classUnsafe, 1); f.sendCount(id) != 1 {
-		t.Fatal("refused before the Aim had passed")
+	if id := f.submit(classNonIdempotent, 1); f.sendCount(id) != 1 {
+		t.Fatal("refused before the target latency had passed")
 	}
 	f.advance(700 * ms)
-	id := f.submit(classUnsafe, 1)
+	id := f.submit(classNonIdempotent, 1)
 	f.wantFinalAnswer(id, "refused")
 	if f.sendCount(id) != 0 {
-		t.Error("a write was sent to a primary that has answered none for longer than the Aim")
+		t.Error("a write was sent to a primary that has answered none for longer than the target latency")
 	}
 	for _, write := range writes {
 		f.end(f.mustBeSent(write), OK)
 	}
 	f.advance(2 * time.Second)
-	if id := f.submit(classUnsafe, 1); f.sendCount(id) != 1 {
+	if id := f.submit(classNonIdempotent, 1); f.sendCount(id) != 1 {
 		t.Error("still refused after the primary answered")
 	}
 }
@@ -603,7 +603,7 @@
 // Under overload, requests of a tenant over its quota are shed before those of tenants within theirs.
 func TestRequestsOverQuotaAreShedFirst(t *testing.T) {
 	cfg := testConfig()
-	cfg.Tenants, cfg.OverShare = []Tenant{{Name: "a", Quota: 20}, {Name: "b", Quota: 20}}, 0.1
+	cfg.Tenants, cfg.OverQuotaWorth = []Tenant{{Name: "a", Quota: 20}, {Name: "b", Quota: 20}}, 0.1
 	f := newSettledProxy(t, cfg, 4)
 	refused := map[int]int{}
 	ask := func(tenant, n int) {
@@ -678,13 +678,13 @@
 	named := newEntry(2)
 	named.Primary = true
 	f.router.members[2].role, f.router.members[2].roleAt = RoleUnknown, 0
-	f.router.Members(f.now, List{Kind: ListDelta, Entries: []Member{named}})
-	if s := f.serve(f.submit(classFresh, 0), ms); s.to != 1 {
+	f.router.MemberList(f.now, List{Kind: ListDelta, Entries: []Member{named}})
+	if s := f.serve(f.submit(classLatest, 0), ms); s.to != 1 {
 		t.Fatalf("a late list overrode member 1's newer report: sent to %d", s.to)
 	}
 	f.now += 5 * ms
 	f.router.updateRoleAndPosition(f.router.members[2], RolePrimary, f.now, f.now, f.now)
-	if s := f.mustBeSent(f.submit(classFresh, 0)); s.to != 2 {
+	if s := f.mustBeSent(f.submit(classLatest, 0)); s.to != 2 {
 		t.Errorf("sent to %d, though member 2's report is the newest", s.to)
 	}
 }
--- a/logic/state.go
+++ b/logic/state.go
@@ -65,7 +65,7 @@
 	unresponsiveSince time.Duration // when unresponsive was last set
 
 	inFlight            []*attempt    // this proxy's attempts that are pending there, oldest first
-	score               float64       // moving average of answer time divided by the class's Aim
+	score               float64       // moving average of answer time divided by Class.TargetLatency
 	inFlightLimit       float64       // concurrency limit for this proxy's attempts; may be fractional
 	scoredAt            time.Duration // when score was last updated
 	limitUpdatedAt      time.Duration // when inFlightLimit last recovered with time
@@ -96,14 +96,14 @@
 // request is a request that has no final answer yet, or still has attempts pending.
 type request struct {
 	Request
-	class      *Class
-	group      *group
-	token      time.Duration // for session reads: the commit that the read must see
-	attempts   []*attempt
-	mayHaveRun bool // some attempt may have been executed
-	done       bool // it has its final answer, or needs none
-	overQuota  bool // its tenant was over its quota
-	waiting    bool // it is in Router.waiting
+	class         *Class
+	group         *group
+	token         time.Duration // for session reads: the commit that the read must see
+	attempts      []*attempt
+	maybeExecuted bool // some attempt may have been executed
+	done          bool // it has its final answer, or needs none
+	overQuota     bool // its tenant was over its quota
+	waiting       bool // it is in Router.waiting
 
 	probeRounds      int           // number of rounds of probes sent for it
 	lastProbeRoundAt time.Duration // when the last round was sent
@@ -116,7 +116,7 @@
 	target          *member
 	sentAt          time.Duration
 	pending         bool // it has no outcome yet
-	mayHaveRun      bool // its outcome doesn't exclude that it was executed
+	maybeExecuted   bool // its outcome doesn't exclude that it was executed
 	cancelRequested bool
 	overdue         bool // it takes much longer than usual for its class, and counts as a failure
 }
