--- a/internal/net/client.go
+++ b/internal/net/client.go
@@ -47,7 +47,7 @@
 	fd             *descriptor
 	input          buffer
 	connState      connState
-	excess         bool // over the client limit: turned away after its startup message
+	excess         bool // over the client limit: rejected after its startup message
 	accountedBytes int  // bytes of input that are included in Server.bufferedBytes
 	hasQueried     bool // a complete query has arrived
 	writeClosed    bool // nothing more is sent to the client
@@ -98,7 +98,7 @@
 		if c.accountBuffer(); c.server.bufferedBytes <= c.server.maxBufferedBytes || len(c.input.bytes) <= maxIdleCapacity {
 			return
 		}
-		c.server.dispatcher.Counters.TurnedAway++ // the partial query has not been taken as a request
+		c.server.dispatcher.Counters.ClientsRejected++ // the partial query has not been accepted as a request
 		c.closeWithError(pg.CodeTooMany, "no memory for a query of this size now")
 	}
 	c.input.discard(len(c.input.bytes)) // input after the final response is ignored
@@ -205,7 +205,7 @@
 	case opening == pg.OpenCancel:
 		c.close()
 	case c.excess:
-		c.server.dispatcher.Counters.TurnedAway++
+		c.server.dispatcher.Counters.ClientsRejected++
 		c.closeWithError(pg.CodeTooMany, "too many clients")
 	default:
 		c.connState = stateServing
@@ -231,23 +231,23 @@
 		return err
 	}
 	c.responses = append(c.responses, resp)
-	resp.id, err = c.server.dispatcher.Take(state.Request{Name: st.ID, Class: st.Class, Wait: st.Wait,
-		Session: st.Session, Group: st.Group, After: st.After, Retry: st.Retry, Command: &st, Caller: resp})
+	resp.id, err = c.server.dispatcher.Submit(state.Request{ClientRequestID: st.ID, Class: st.Class, Timeout: st.Timeout,
+		Session: st.Session, Group: st.Group, TokenMillis: st.TokenMillis, Retry: st.Retry, Command: &st, Responder: resp})
 	if err != nil {
 		c.responses = c.responses[:len(c.responses)-1]
 	}
 	return err
 }
 
-// Served implements state.Caller.
+// Served implements state.Responder.
 func (resp *pendingResponse) Served(body []byte) { resp.complete(pg.AppendServed(nil, body)) }
 
-// Refused implements state.Caller.
+// Refused implements state.Responder.
 func (resp *pendingResponse) Refused(retryAfter time.Duration) {
 	resp.complete(pg.AppendRefused(nil, retryAfter))
 }
 
-// Failed implements state.Caller.
+// Failed implements state.Responder.
 func (resp *pendingResponse) Failed() { resp.complete(pg.AppendFailed(nil)) }
 
 // complete records the response and sends every response that is next in order.
@@ -294,7 +294,7 @@
 }
 
 // closeWithError sends a fatal error and closes the connection. Responses that are still due come first: the queries
-// that preceded the protocol error have been taken.
+// that preceded the protocol error have been accepted.
 func (c *client) closeWithError(code, text string) {
 	if c.connState >= stateClosing {
 		return
@@ -306,7 +306,7 @@
 	resp.complete(pg.AppendFatal(nil, code, text))
 }
 
-// closeIfIdle closes a connection that awaits no response. A partial query, which has not been taken, prevents this
+// closeIfIdle closes a connection that awaits no response. A partial query, which has not been accepted, prevents this
 // unless allowPartial is set, once the client has had its time to send the rest.
 func (c *client) closeIfIdle(allowPartial bool) {
 	if c.connState < stateClosing && len(c.responses) == 0 && (allowPartial || len(c.input.bytes) == 0) && c.allInputSeen() {
--- a/internal/net/database.go
+++ b/internal/net/database.go
@@ -32,7 +32,7 @@
 	errUnexpectedResponse = errors.New("unexpected response: no command was sent")
 )
 
-// Databases opens connections to databases. It implements state.Opener.
+// Databases opens connections to databases. It implements state.Dialer.
 type Databases struct {
 	Loop           *Loop
 	ConnectTimeout time.Duration
@@ -42,15 +42,15 @@
 	abandonedDials    int           // dials in progress whose connection was closed meanwhile
 }
 
-// GivenUp implements state.Opener.
-func (databases *Databases) GivenUp() int { return databases.abandonedDials }
+// AbandonedDials implements state.Dialer.
+func (databases *Databases) AbandonedDials() int { return databases.abandonedDials }
 
 // malformedLogInterval is the minimum time between log lines about malformed data from databases.
 const malformedLogInterval = 10 * time.Second
 
 // recordMalformed counts malformed data from a database and logs it, at most once per malformedLogInterval.
 func (databases *Databases) recordMalformed(address string, err error) {
-	databases.Counters.Spoilt++
+	databases.Counters.MalformedReplies++
 	if now := databases.Loop.clock.Now(); databases.malformedLoggedAt == 0 ||
 		now-databases.malformedLoggedAt >= malformedLogInterval {
 		databases.malformedLoggedAt = now
@@ -62,7 +62,7 @@
 type databaseConn struct {
 	databases        *Databases
 	address          string
-	handler          state.Listener
+	handler          state.ConnHandler
 	conn             netpoll.Connection // nil until connected
 	fd               *descriptor
 	input            buffer
@@ -77,8 +77,8 @@
 	responseStarted  bool
 }
 
-// Open implements state.Opener. Only the dial blocks, on a goroutine of its own.
-func (databases *Databases) Open(address string, handler state.Listener) state.Conn {
+// Dial implements state.Dialer. Only the dial blocks, on a goroutine of its own.
+func (databases *Databases) Dial(address string, handler state.ConnHandler) state.Conn {
 	db := &databaseConn{databases: databases, address: address, handler: handler}
 	connect(databases.Loop, address, databases.ConnectTimeout, db.onConnected)
 	return db
@@ -148,10 +148,10 @@
 }
 
 // Send implements state.Conn.
-func (db *databaseConn) Send(cmd state.Command, wait time.Duration) error {
+func (db *databaseConn) Send(cmd state.Command, timeout time.Duration) error {
 	db.reply.Reset()
 	db.awaitingResponse, db.probing = true, false
-	db.output = cmd.AppendTo(db.output[:0], wait)
+	db.output = cmd.AppendTo(db.output[:0], timeout)
 	err := db.write(db.output)
 	if cap(db.output) > maxIdleCapacity {
 		db.output = nil
@@ -166,9 +166,9 @@
 	return db.write(pg.AppendQuery(nil, loadQuery))
 }
 
-// Quiet implements state.Conn. Responses carry no identifier: anything that arrives without a command, even if it is
+// Reusable implements state.Conn. Responses carry no identifier: anything that arrives without a command, even if it is
 // still in the kernel's buffer, would be taken for the response to the next command.
-func (db *databaseConn) Quiet() bool {
+func (db *databaseConn) Reusable() bool {
 	return !db.closed && db.conn != nil && !db.awaitingResponse && db.conn.IsActive() &&
 		len(db.input.bytes) == 0 && db.fd.readBuffersEmpty()
 }
@@ -199,7 +199,7 @@
 		return
 	}
 	db.Close()
-	db.handler.Down()
+	db.handler.Disconnected()
 }
 
 // onReadable processes the available input up to the end of a response.
@@ -256,7 +256,7 @@
 	if !db.established && db.reply.Code == "" {
 		db.established = true
 		db.reply.Reset()
-		db.handler.Up()
+		db.handler.Connected()
 		return
 	}
 	r := db.stateReply()
@@ -272,7 +272,7 @@
 	db.databases.recordMalformed(db.address, err)
 	db.Close()
 	// netpoll closes the connection after this callback has returned; no other attempt may be sent before that.
-	db.databases.Loop.Post(db.handler.Spoilt)
+	db.databases.Loop.Post(db.handler.MalformedReply)
 }
 
 // stateReply converts the response to a state.Reply.
@@ -286,14 +286,14 @@
 	case pg.CodeTooMany, pg.CodeNotNow:
 		r.Result = logic.Full
 	default:
-		r.Unfit = pg.Unfit(db.reply.Code)
+		r.StatementError = pg.StatementError(db.reply.Code)
 	}
-	report := db.reply.Load
+	report := db.reply.LoadReport
 	if db.probing && r.Result == logic.OK {
 		report = db.reply.Row()
 	}
-	if l := pg.ParseReport(report); l.Told {
-		r.Load = state.Load{Told: true, Role: parseRole(l.Role), Position: l.Position, Queue: l.Queue}
+	if l := pg.ParseLoadReport(report); l.Present {
+		r.LoadReport = state.LoadReport{Present: true, Role: parseRole(l.Role), Position: l.Position, Queue: l.Queue}
 	}
 	return r
 }
--- a/internal/net/discovery.go
+++ b/internal/net/discovery.go
@@ -36,13 +36,13 @@
 
 var errCallTimedOut = errors.New("no response in time")
 
-// Discovery fetches the member list from the discovery service. It implements state.Watcher. A call blocks a goroutine
+// Discovery fetches the member list from the discovery service. It implements state.Discovery. A call blocks a goroutine
 // of its own and passes its result to the loop.
 type Discovery struct {
 	loop       *Loop
 	clock      state.Clock
 	deadlines  *state.Deadlines
-	dispatcher *state.Front
+	dispatcher *state.Dispatcher
 	address    string
 	timeout    time.Duration
 	client     *http.Client
@@ -60,7 +60,7 @@
 
 // NewDiscovery returns a client for the service at an address; generation is that of the current list. agent tells that
 // the address is that of an agent on this machine, which responds at once and at no cost, not that of a shared service.
-func NewDiscovery(loop *Loop, clock state.Clock, dispatcher *state.Front, address string, generation int64,
+func NewDiscovery(loop *Loop, clock state.Clock, dispatcher *state.Dispatcher, address string, generation int64,
 	agent bool) *Discovery {
 	d := &Discovery{loop: loop, clock: clock, deadlines: &dispatcher.Deadlines, dispatcher: dispatcher, address: address,
 		generation: generation, timeout: serviceTimeout, client: &http.Client{
@@ -85,7 +85,7 @@
 	}
 }
 
-// Watch implements state.Watcher.
+// Watch implements state.Discovery.
 func (d *Discovery) Watch(on bool) {
 	d.watching = on
 	if on {
@@ -93,7 +93,7 @@
 	}
 }
 
-// Fetch implements state.Watcher.
+// Fetch implements state.Discovery.
 func (d *Discovery) Fetch() {
 	d.generation = discovery.NoList
 	d.restart()
@@ -225,7 +225,7 @@
 		// tight loop: it serves all proxies, one call after the other.
 		d.deadlines.Set(&d.timer, max(d.calledAt+minCallInterval, d.clock.Now()), d.call)
 	}
-	d.dispatcher.Listed(ListOf(l))
+	d.dispatcher.ApplyList(ListOf(l))
 	d.notifyFirstCallDone()
 }
 
@@ -243,8 +243,8 @@
 		case discovery.Terminated:
 			s = logic.Gone
 		}
-		out.Entries = append(out.Entries, state.Entry{Name: e.ID, Address: e.Address, Zone: e.Zone, Group: e.Group,
-			State: s, Weight: e.Weight, Started: time.Duration(e.StartedMs) * time.Millisecond})
+		out.Entries = append(out.Entries, state.ListEntry{Name: e.ID, Address: e.Address, Zone: e.Zone, Group: e.Group,
+			State: s, Weight: e.Weight, StartedUnix: time.Duration(e.StartedMs) * time.Millisecond})
 	}
 	return out
 }
--- a/internal/net/discovery_test.go
+++ b/internal/net/discovery_test.go
@@ -63,14 +63,14 @@
 	t *testing.T
 	*Discovery
 	testClock  *adjustableClock
-	dispatcher *state.Front
+	dispatcher *state.Dispatcher
 	loop       *Loop
 }
 
 // startDiscovery runs a Discovery whose current list has generation 3.
 func startDiscovery(t *testing.T, address string, isAgent bool) *testDiscovery {
 	t.Helper()
-	clock := &adjustableClock{SystemClock: state.NewClock()}
+	clock := &adjustableClock{SystemClock: state.NewSystemClock()}
 	cfg := testConfig
 	cfg.ListOnRequest, cfg.LocalAgent = true, isAgent
 	dispatcher, err := state.New(state.Config{Logic: cfg, MaxConnections: 1, ConnectTimeout: testTimeout},
@@ -286,7 +286,7 @@
 	}
 }
 
-var _ state.Watcher = (*Discovery)(nil)
+var _ state.Discovery = (*Discovery)(nil)
 
 // send writes a part of a response's body and waits until it has been read.
 func (d *testDiscovery) send(c receivedCall, progress *callProgress, piece string) {
--- a/internal/net/loop.go
+++ b/internal/net/loop.go
@@ -67,7 +67,7 @@
 			f()
 			work[i] = nil
 		}
-		l.deadlines.Run(l.clock.Now())
+		l.deadlines.RunDue(l.clock.Now())
 		l.stalls.record(begin, l.clock.Now(), len(work))
 		if l.stopped || len(work) > 0 {
 			continue
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -26,11 +26,11 @@
 	{Name: "any", RequiredFreshness: logic.FreshnessAny, TargetLatency: 10 * time.Second,
 		ClientTimeout: 20 * time.Second}}}
 
-// noopWatcher is a state.Watcher that does nothing.
-type noopWatcher struct{}
+// noopDiscovery is a state.Discovery that does nothing.
+type noopDiscovery struct{}
 
-func (noopWatcher) Watch(bool) {}
-func (noopWatcher) Fetch()     {}
+func (noopDiscovery) Watch(bool) {}
+func (noopDiscovery) Fetch()     {}
 
 // adjustableClock is the system's clock, which a test may advance.
 type adjustableClock struct {
@@ -49,9 +49,9 @@
 }
 
 // startProxy runs a server on a port of its own, with one group whose only member is at the given address.
-func startProxy(t *testing.T, member string, clients, excess int) (*Server, *state.Front, *Loop) {
+func startProxy(t *testing.T, member string, clients, excess int) (*Server, *state.Dispatcher, *Loop) {
 	t.Helper()
-	clock := &adjustableClock{SystemClock: state.NewClock()}
+	clock := &adjustableClock{SystemClock: state.NewSystemClock()}
 	databases := &Databases{ConnectTimeout: testTimeout}
 	dispatcher, err := state.New(state.Config{Logic: testConfig, MaxConnections: 16, ConnectTimeout: testTimeout},
 		clock, databases)
@@ -64,7 +64,7 @@
 	s.idleLimit = clients // so that a test closes clients for one reason only
 	listen(t, s)
 	loop.Post(func() {
-		dispatcher.Start(noopWatcher{}, state.List{Entries: []state.Entry{{Name: "m", Address: member, State: logic.Ready}}})
+		dispatcher.Start(noopDiscovery{}, state.List{Entries: []state.ListEntry{{Name: "m", Address: member, State: logic.Ready}}})
 	})
 	done := make(chan struct{})
 	go func() { loop.Run(); close(done) }()
@@ -253,7 +253,7 @@
 	}
 }
 
-// Queries that precede a protocol error have been taken: they are answered first, and the fatal error is complete.
+// Queries that precede a protocol error have been accepted: they are answered first, and the fatal error is complete.
 func TestDueResponsesPrecedeFatalError(t *testing.T) {
 	s, _, _ := startProxy(t, startDatabase(t, echo), 8, 1)
 	for _, invalid := range [][]byte{{'Q', 0xff, 0xff, 0xff, 0xff}, pg.AppendQuery(nil, "SELECT 1"), {'P', 0, 0, 0, 4},
@@ -273,7 +273,7 @@
 	}
 }
 
-// Clients that sent one query and kept their connection occupied all places, so that new clients were turned away all
+// Clients that sent one query and kept their connection occupied all places, so that new clients were rejected all
 // day.
 func TestIdleAndSilentClientsAreClosedToMakeRoom(t *testing.T) {
 	s, _, _ := startProxy(t, startDatabase(t, echo), 4, 1)
@@ -430,7 +430,7 @@
 		if n := <-got; n == 0 {
 			t.Errorf("%s: no reset was counted", name)
 		}
-		loop.Post(func() { got <- dispatcher.Counters.Spoilt })
+		loop.Post(func() { got <- dispatcher.Counters.MalformedReplies })
 		if malformed := <-got > 0; malformed != (name != "closes") {
 			t.Errorf("%s: counted as malformed: %v", name, malformed)
 		}
@@ -552,7 +552,7 @@
 	}
 	defer ln.Close()
 	var deadlines state.Deadlines
-	loop := NewLoop(state.NewClock(), &deadlines, &state.Counters{})
+	loop := NewLoop(state.NewSystemClock(), &deadlines, &state.Counters{})
 	connect(loop, ln.Addr().String(), testTimeout, func(conn netpoll.Connection, err error) {
 		defer loop.Stop()
 		if err != nil {
@@ -656,8 +656,8 @@
 }
 
 // A client that keeps sending while its connection is being closed loses no response by that, and none of its input is
-// taken. Closing with unread bytes used to reset the connection.
-func TestInputDuringCloseIsReadButNotTaken(t *testing.T) {
+// accepted. Closing with unread bytes used to reset the connection.
+func TestInputDuringCloseIsReadButNotAccepted(t *testing.T) {
 	s, dispatcher, loop := startProxy(t, startDatabase(t, echo), 8, 1)
 	p := dialServed(t, s)
 	withPollerBlocked(t, s, func(c *client) {
@@ -673,9 +673,9 @@
 	p.conn.Close()
 	for left := 2; left > 1; {
 		got := make(chan bool)
-		loop.Post(func() { left = len(s.clients); got <- dispatcher.Counters.Taken > 1 })
+		loop.Post(func() { left = len(s.clients); got <- dispatcher.Counters.Accepted > 1 })
 		if <-got {
-			t.Fatal("input during the close was taken")
+			t.Fatal("input during the close was accepted")
 		}
 	}
 }
@@ -723,12 +723,12 @@
 	}
 }
 
-// Queries left in the buffer of a client whose connection has closed are not taken.
-func TestNoQueryIsTakenFromClosedClient(t *testing.T) {
+// Queries left in the buffer of a client whose connection has closed are not accepted.
+func TestNoQueryIsAcceptedFromClosedClient(t *testing.T) {
 	server, dispatcher, _ := startProxy(t, "127.0.0.1:1", 8, 1)
 	c := &client{server: server, connState: stateClosed, input: buffer{pg.AppendQuery(nil, queryText("a"))}}
-	if c.processInput(); dispatcher.Counters.Taken != 0 || len(c.input.bytes) != 0 {
-		t.Errorf("%d requests taken, %d bytes left", dispatcher.Counters.Taken, len(c.input.bytes))
+	if c.processInput(); dispatcher.Counters.Accepted != 0 || len(c.input.bytes) != 0 {
+		t.Errorf("%d requests accepted, %d bytes left", dispatcher.Counters.Accepted, len(c.input.bytes))
 	}
 }
 
@@ -757,7 +757,7 @@
 // closed, the next server's got the same number, and its clients were accepted for the stopped server.
 func TestStoppedServerDoesNotAcceptForNextServer(t *testing.T) {
 	for range 50 {
-		first := NewServer(NewLoop(state.NewClock(), &state.Deadlines{}, &state.Counters{}), nil, &state.Front{}, 1, 1, 1)
+		first := NewServer(NewLoop(state.NewSystemClock(), &state.Deadlines{}, &state.Counters{}), nil, &state.Dispatcher{}, 1, 1, 1)
 		listen(t, first)
 		fd := first.listener.fd
 		first.Drain()
--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -37,7 +37,7 @@
 	loop       *Loop
 	clock      state.Clock
 	deadlines  *state.Deadlines
-	dispatcher *state.Front
+	dispatcher *state.Dispatcher
 	listener   *listener
 	listening  bool
 
@@ -46,10 +46,10 @@
 	idle             list.List // no response due, idle for longest first
 	closing          list.List // write side closed, waiting for the client to close
 	bufferedBytes    int       // input of all clients that is not processed yet
-	maxBufferedBytes int       // above it, a client that holds more than a little is turned away
+	maxBufferedBytes int       // above it, a client that holds more than a little is rejected
 	maxClients       int
 	idleLimit        int // number of clients above which idle ones are closed in advance
-	maxExcess        int // clients above maxClients that are turned away with an error
+	maxExcess        int // clients above maxClients that are rejected with an error
 	excessClients    int
 	idleTimer        state.Deadline
 	fullLoggedAt     time.Duration // when too many clients were last logged
@@ -57,8 +57,8 @@
 }
 
 // NewServer returns a server for at most maxClients clients, whose partial queries may occupy maxBufferedBytes. Up to
-// maxExcess further clients are turned away with an error.
-func NewServer(loop *Loop, clock state.Clock, dispatcher *state.Front, maxClients, maxExcess, maxBufferedBytes int) *Server {
+// maxExcess further clients are rejected with an error.
+func NewServer(loop *Loop, clock state.Clock, dispatcher *state.Dispatcher, maxClients, maxExcess, maxBufferedBytes int) *Server {
 	return &Server{loop: loop, clock: clock, deadlines: &dispatcher.Deadlines, dispatcher: dispatcher,
 		clients: map[*client]struct{}{}, maxClients: maxClients, idleLimit: maxClients / idleLimitDivisor,
 		maxExcess: maxExcess, maxBufferedBytes: maxBufferedBytes}
@@ -113,7 +113,7 @@
 		server.excessClients++
 		if now := server.clock.Now(); server.fullLoggedAt == 0 || now-server.fullLoggedAt >= fullLogInterval {
 			server.fullLoggedAt = now
-			slog.Warn("too many clients, turning new ones away", "clients", len(server.clients))
+			slog.Warn("too many clients, rejecting new ones", "clients", len(server.clients))
 		}
 	}
 	server.clients[c] = struct{}{}
@@ -188,7 +188,7 @@
 		c.leaveEvictionList()
 		return
 	}
-	server.dispatcher.Counters.MadeRoom++
+	server.dispatcher.Counters.ClientsEvicted++
 	c.close()
 }
 
--- a/internal/net/stallmonitor.go
+++ b/internal/net/stallmonitor.go
@@ -23,9 +23,9 @@
 // record notes one iteration of the loop and the number of callbacks that it ran.
 func (m *stallMonitor) record(begin, end time.Duration, callbacks int) {
 	took := end - begin
-	longest := took > m.counters.LongestHold
+	longest := took > m.counters.LongestStall
 	if longest {
-		m.counters.LongestHold = took
+		m.counters.LongestStall = took
 	}
 	if took < stallThreshold || !longest && end-m.loggedAt < stallLogInterval {
 		return
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -80,7 +80,7 @@
 	if p.fatalErr != nil {
 		return p.fatalErr
 	}
-	slog.Info("stopped", "unanswered", p.dispatcher.Pending(), "counters", &p.dispatcher.Counters)
+	slog.Info("stopped", "unanswered", p.dispatcher.OpenRequests(), "counters", &p.dispatcher.Counters)
 	return nil
 }
 
@@ -96,7 +96,7 @@
 type proxy struct {
 	loop       *net.Loop
 	clock      state.Clock
-	dispatcher *state.Front
+	dispatcher *state.Dispatcher
 	server     *net.Server
 	discovery  *net.Discovery
 
@@ -135,11 +135,11 @@
 	// "pushed" means that the simulator pushes changes to the router. A real proxy has an agent on its machine instead,
 	// which answers only when asked: without a watch the proxy would keep the list it started with for good.
 	deployment.Config.LocalAgent, deployment.Config.ListOnRequest = !deployment.Config.ListOnRequest, true
-	p := &proxy{clock: state.NewClock()}
+	p := &proxy{clock: state.NewSystemClock()}
 	databases := &net.Databases{ConnectTimeout: deployment.ConnectTimeout}
 	var err error
 	p.dispatcher, err = state.New(state.Config{Logic: deployment.Config, Zones: deployment.Zones,
-		IdleClose: deployment.IdleClose, ConnectTimeout: deployment.ConnectTimeout, MaxConnections: connections},
+		DatabaseIdleTimeout: deployment.DatabaseIdleTimeout, ConnectTimeout: deployment.ConnectTimeout, MaxConnections: connections},
 		p.clock, databases)
 	if err != nil {
 		return nil, err
@@ -190,7 +190,7 @@
 // scheduleCounterLog logs the counters at regular intervals, because a process that is killed can't log them at its end.
 func (p *proxy) scheduleCounterLog() {
 	p.dispatcher.Deadlines.Set(&p.counterTimer, p.clock.Now()+counterLogInterval, func() {
-		slog.Info("counters", "pending", p.dispatcher.Pending(), "connections", p.dispatcher.Connections(),
+		slog.Info("counters", "pending", p.dispatcher.OpenRequests(), "connections", p.dispatcher.Connections(),
 			"counters", &p.dispatcher.Counters)
 		p.scheduleCounterLog()
 	})
@@ -203,7 +203,7 @@
 		switch s {
 		case syscall.SIGUSR1:
 			p.loop.Post(func() {
-				slog.Info("counters", "pending", p.dispatcher.Pending(), "counters", &p.dispatcher.Counters)
+				slog.Info("counters", "pending", p.dispatcher.OpenRequests(), "counters", &p.dispatcher.Counters)
 			})
 		case syscall.SIGHUP:
 			p.reload(path)
@@ -234,10 +234,10 @@
 		return
 	}
 	p.stopping = true
-	slog.Info("stopping", "pending", p.dispatcher.Pending())
+	slog.Info("stopping", "pending", p.dispatcher.OpenRequests())
 	now := p.clock.Now()
 	p.exitAt = now + p.longestDeadline + stopMargin
-	p.dispatcher.End(p.exitAt - answerMargin)
+	p.dispatcher.ShutDownAt(p.exitAt - answerMargin)
 	p.dispatcher.Deadlines.Set(&p.stopTimer, now+acceptGracePeriod, func() {
 		p.server.EndListening()
 		p.dispatcher.Deadlines.Set(&p.stopTimer, p.exitAt-drainMargin, p.drain)
@@ -253,7 +253,7 @@
 // pollDrained stops the loop once every client is closed and every request has ended, or at exitAt.
 func (p *proxy) pollDrained() {
 	now := p.clock.Now()
-	if p.server.Drained(now >= p.exitAt-answerMargin) && p.dispatcher.Pending() == 0 || now >= p.exitAt {
+	if p.server.Drained(now >= p.exitAt-answerMargin) && p.dispatcher.OpenRequests() == 0 || now >= p.exitAt {
 		p.loop.Stop()
 		return
 	}
--- a/internal/run/run_test.go
+++ b/internal/run/run_test.go
@@ -136,8 +136,8 @@
 		t.Errorf("the busy client got %q, error %v", got, err)
 	}
 	<-exited
-	if p.dispatcher.Pending() != 0 || p.dispatcher.Counters.Served != 1 {
-		t.Errorf("%d requests pending, %d served", p.dispatcher.Pending(), p.dispatcher.Counters.Served)
+	if p.dispatcher.OpenRequests() != 0 || p.dispatcher.Counters.Served != 1 {
+		t.Errorf("%d open requests, %d served", p.dispatcher.OpenRequests(), p.dispatcher.Counters.Served)
 	}
 }
 
--- a/internal/state/benchmark_test.go
+++ b/internal/state/benchmark_test.go
@@ -10,25 +10,26 @@
 	"havenproxy/logic"
 )
 
-// stuckOpener opens connections that are never established.
-type stuckOpener struct{}
+// stuckDialer opens connections that are never established.
+type stuckDialer struct{}
 
-func (stuckOpener) Open(string, Listener) Conn { return &fakeConn{} }
-func (stuckOpener) GivenUp() int               { return 0 }
+func (stuckDialer) Dial(string, ConnHandler) Conn { return &fakeConn{} }
+func (stuckDialer) AbandonedDials() int           { return 0 }
 
-// noWatcher is a Watcher that never reports a list.
-type noWatcher struct{}
+// noDiscovery is a Discovery that never reports a list.
+type noDiscovery struct{}
 
-func (noWatcher) Watch(bool) {}
-func (noWatcher) Fetch()     {}
+func (noDiscovery) Watch(bool) {}
+func (noDiscovery) Fetch()     {}
 
-// newFleetDispatcher returns a started Front with a real router and the given number of databases, six in each group.
-func newFleetDispatcher(b *testing.B, databases int) *Front {
+// newFleetDispatcher returns a started Dispatcher with a real router and the given number of databases, six in each
+// group.
+func newFleetDispatcher(b *testing.B, databases int) *Dispatcher {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
-	f, err := New(Config{Logic: logic.Config{Tick: 5 * time.Millisecond, Proxies: 300, MayProbe: true,
+	d, err := New(Config{Logic: logic.Config{Tick: 5 * time.Millisecond, Proxies: 300, MayProbe: true,
 		Classes: []logic.Class{{Name: "any", RequiredFreshness: logic.FreshnessAny, TargetLatency: time.Second,
 			ClientTimeout: 2 * time.Second}}},
-		ConnectTimeout: 250 * time.Millisecond, MaxConnections: 400}, NewClock(), stuckOpener{})
+		ConnectTimeout: 250 * time.Millisecond, MaxConnections: 400}, NewSystemClock(), stuckDialer{})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -36,27 +37,27 @@
 	for i := range databases {
 		known.Entries = append(known.Entries, fleetMember(i, logic.Ready))
 	}
-	f.Start(noWatcher{}, known)
-	return f
+	d.Start(noDiscovery{}, known)
+	return d
 }
 
 // fleetMember returns the list entry of database i.
-func fleetMember(i int, state logic.MemberState) Entry {
-	return Entry{Name: fmt.Sprintf("s-%08x", i), Address: "127.0.0.1:1", Group: i / 6, State: state, Weight: 1}
+func fleetMember(i int, state logic.MemberState) ListEntry {
+	return ListEntry{Name: fmt.Sprintf("s-%08x", i), Address: "127.0.0.1:1", Group: i / 6, State: state, Weight: 1}
 }
 
 // BenchmarkListOfThreeChanges measures applying a change of three databases to fleets of different sizes.
 func BenchmarkListOfThreeChanges(b *testing.B) {
 	for _, databases := range []int{200, 3200} {
 		b.Run(fmt.Sprint(databases), func(b *testing.B) {
-			f := newFleetDispatcher(b, databases)
+			d := newFleetDispatcher(b, databases)
 			states := []logic.MemberState{logic.Draining, logic.Ready}
 			for i := 0; b.Loop(); i++ {
 				l := List{Kind: logic.ListDelta}
 				for n := range 3 {
 					l.Entries = append(l.Entries, fleetMember(n*6, states[i%2]))
 				}
-				f.Listed(l)
+				d.ApplyList(l)
 			}
 		})
 	}
@@ -66,9 +67,9 @@
 func BenchmarkHousekeepingOfIdleFleet(b *testing.B) {
 	for _, databases := range []int{200, 3200} {
 		b.Run(fmt.Sprint(databases), func(b *testing.B) {
-			f := newFleetDispatcher(b, databases)
+			d := newFleetDispatcher(b, databases)
 			for b.Loop() {
-				f.notifyRouter(func() { f.router.Timer(f.clock.Now(), logic.TimerID(1)) })
+				d.notifyRouter(func() { d.router.Timer(d.clock.Now(), logic.TimerID(1)) })
 			}
 		})
 	}
--- a/internal/state/clock.go
+++ b/internal/state/clock.go
@@ -19,8 +19,8 @@
 // SystemClock implements Clock with the machine's clocks.
 type SystemClock struct{ start time.Time }
 
-// NewClock returns a SystemClock that starts at clockBase.
-func NewClock() *SystemClock { return &SystemClock{time.Now()} }
+// NewSystemClock returns a SystemClock that starts at clockBase.
+func NewSystemClock() *SystemClock { return &SystemClock{time.Now()} }
 
 // Now implements Clock. It reads the monotonic clock.
 func (c *SystemClock) Now() time.Duration { return clockBase + time.Since(c.start) }
--- a/internal/state/connections.go
+++ b/internal/state/connections.go
@@ -20,13 +20,13 @@
 // limitLogInterval is the minimum time between two log lines that the connection limit is reached.
 const limitLogInterval = 10 * time.Second
 
-// Opener opens connections to databases.
-type Opener interface {
-	// Open starts to connect and returns at once. It calls no method of the listener before it has returned.
-	Open(address string, listener Listener) Conn
-	// GivenUp returns the number of connections that were closed while being opened and still hold their file
+// Dialer opens connections to databases.
+type Dialer interface {
+	// Dial starts to connect and returns at once. It calls no method of the handler before it has returned.
+	Dial(address string, handler ConnHandler) Conn
+	// AbandonedDials returns the number of connections that were closed while being opened and still hold their file
 	// descriptor.
-	GivenUp() int
+	AbandonedDials() int
 }
 
 // Conn is a connection to a database.
@@ -36,33 +36,33 @@
 	Send(Command, time.Duration) error
 	// Probe writes a query for the load report.
 	Probe() error
-	// Quiet reports whether the next command may be sent: no data has been received that belongs to no command.
-	Quiet() bool
+	// Reusable reports whether the next command may be sent: no data has been received that belongs to no command.
+	Reusable() bool
 	// Close closes the connection. It may be called at any time, also before the connection is established.
 	Close()
 }
 
-// Listener receives the events of a connection.
-type Listener interface {
-	Up()         // the connection is established and ready for its first command
-	Reply(Reply) // the answer to the last command
-	Down()       // the connection was lost or could not be established
-	Spoilt()     // the data received is not a valid answer; the connection is closed
+// ConnHandler receives the events of a connection.
+type ConnHandler interface {
+	Connected()      // the connection is established and ready for its first command
+	Reply(Reply)     // the answer to the last command
+	Disconnected()   // the connection was lost or could not be established
+	MalformedReply() // the data received is not a valid answer; the connection is closed
 }
 
 // Reply is the answer of a database to a command or a probe.
 type Reply struct {
-	Result   logic.Result
-	Unfit    bool // the request itself caused the error
-	Body     []byte
-	Role     logic.Role
-	Position int64 // Unix milliseconds; 0 = unknown
-	Load     Load
+	Result         logic.Result
+	StatementError bool // the request itself caused the error
+	Body           []byte
+	Role           logic.Role
+	Position       int64 // Unix milliseconds; 0 = unknown
+	LoadReport     LoadReport
 }
 
-// Load is a load report. Told is false if the answer contained none.
-type Load struct {
-	Told     bool
+// LoadReport is a load report. Present is false if the answer contained none.
+type LoadReport struct {
+	Present  bool
 	Role     logic.Role
 	Position float64 // Unix seconds; 0 = unknown
 	Queue    float64 // waiting requests; negative = unknown
@@ -83,7 +83,7 @@
 // time to connect, the time that a probe takes, and the time that it stays idle.
 type connection struct {
 	Deadline
-	f           *Front
+	dispatcher  *Dispatcher
 	target      *member
 	conn        Conn
 	state       connectionState
@@ -91,19 +91,19 @@
 	reused      bool          // the probe is not the first command on this connection
 	probeSentAt time.Duration // when the probe was written
 	attempt     *attempt
-	idleElement *list.Element // its element in Front.idleConnections; nil = not idle
+	idleElement *list.Element // its element in Dispatcher.idleConnections; nil = not idle
 }
 
 // assignConnection sends an attempt on an idle connection or, if there is none, opens a connection that will send it.
-func (f *Front) assignConnection(a *attempt) {
+func (d *Dispatcher) assignConnection(a *attempt) {
 	m := a.target
-	if c := f.takeIdle(m); c != nil {
-		f.writeAttempt(c, a)
+	if c := d.takeIdle(m); c != nil {
+		d.writeAttempt(c, a)
 		return
 	}
-	c := f.openConnection(m)
+	c := d.openConnection(m)
 	if c == nil { // the limit is this proxy's own and says nothing about the member
-		f.abortAttempt(a, Reply{Result: logic.NotSent})
+		d.abortAttempt(a, Reply{Result: logic.NotSent})
 		return
 	}
 	c.attempt, a.connection = a, c
@@ -112,85 +112,85 @@
 
 // takeIdle returns the most recently used idle connection of a member and marks it as no longer idle. It returns nil
 // if there is none.
-func (f *Front) takeIdle(m *member) *connection {
+func (d *Dispatcher) takeIdle(m *member) *connection {
 	for n := len(m.idleConnections); n > 0; n = len(m.idleConnections) {
 		c := m.idleConnections[n-1]
-		if c.conn.Quiet() {
+		if c.conn.Reusable() {
 			m.idleConnections = m.idleConnections[:n-1]
-			f.removeFromIdleOrder(c)
+			d.removeFromIdleOrder(c)
 			return c
 		}
-		f.closeConnection(c) // a duplicate of an answer, or the end of the stream; the new command has not been written
+		d.closeConnection(c) // a duplicate of an answer, or the end of the stream; the new command has not been written
 	}
 	return nil
 }
 
-// removeFromIdleOrder removes a connection from Front.idleConnections and clears its idle timeout.
-func (f *Front) removeFromIdleOrder(c *connection) {
-	f.Deadlines.Clear(&c.Deadline)
+// removeFromIdleOrder removes a connection from Dispatcher.idleConnections and clears its idle timeout.
+func (d *Dispatcher) removeFromIdleOrder(c *connection) {
+	d.Deadlines.Clear(&c.Deadline)
 	if c.idleElement != nil {
-		f.idleConnections.Remove(c.idleElement)
+		d.idleConnections.Remove(c.idleElement)
 		c.idleElement = nil
 	}
 }
 
 // openConnection starts to connect to a member. If the limit of connections is reached, it first closes the
 // connection that has been idle for longest, to any member; it returns nil if there is none.
-func (f *Front) openConnection(target *member) *connection {
-	if f.connections+f.opener.GivenUp() >= f.cfg.MaxConnections && !f.closeOldestIdle() {
-		f.Counters.NoRoom++
-		if now := f.clock.Now(); f.limitLoggedAt == 0 || now-f.limitLoggedAt >= limitLogInterval {
-			f.limitLoggedAt = now
-			slog.Warn("limit of database connections reached", "open", f.connections, "given_up", f.opener.GivenUp())
+func (d *Dispatcher) openConnection(target *member) *connection {
+	if d.connections+d.dialer.AbandonedDials() >= d.cfg.MaxConnections && !d.closeOldestIdle() {
+		d.Counters.ConnectionLimitReached++
+		if now := d.clock.Now(); d.limitLoggedAt == 0 || now-d.limitLoggedAt >= limitLogInterval {
+			d.limitLoggedAt = now
+			slog.Warn("limit of database connections reached", "open", d.connections, "given_up", d.dialer.AbandonedDials())
 		}
 		return nil
 	}
-	f.connections++
-	f.Counters.Opened++
-	c := &connection{f: f, target: target}
+	d.connections++
+	d.Counters.Opened++
+	c := &connection{dispatcher: d, target: target}
 	target.connections[c] = struct{}{}
-	c.conn = f.opener.Open(target.address, c)
-	f.Deadlines.Set(&c.Deadline, f.clock.Now()+f.cfg.ConnectTimeout, c.Down)
+	c.conn = d.dialer.Dial(target.address, c)
+	d.Deadlines.Set(&c.Deadline, d.clock.Now()+d.cfg.ConnectTimeout, c.Disconnected)
 	return c
 }
 
 // closeOldestIdle closes the connection that has been idle for longest, to any member. It reports whether there was
 // one.
-func (f *Front) closeOldestIdle() bool {
-	oldest := f.idleConnections.Front()
+func (d *Dispatcher) closeOldestIdle() bool {
+	oldest := d.idleConnections.Front()
 	if oldest == nil {
 		return false
 	}
-	f.closeConnection(oldest.Value.(*connection))
+	d.closeConnection(oldest.Value.(*connection))
 	return true
 }
 
 // writeAttempt sends an attempt on an established connection. An attempt that is too late to be sent ends as NotSent,
 // and the connection is released.
-func (f *Front) writeAttempt(c *connection, a *attempt) {
-	f.Deadlines.Clear(&c.Deadline)
-	if a.sendBy > 0 && f.clock.Now() > a.sendBy {
+func (d *Dispatcher) writeAttempt(c *connection, a *attempt) {
+	d.Deadlines.Clear(&c.Deadline)
+	if a.sendBy > 0 && d.clock.Now() > a.sendBy {
 		c.attempt, a.connection = nil, nil
-		f.releaseConnection(c)
-		f.attemptEnded(a, Reply{Result: logic.NotSent})
+		d.releaseConnection(c)
+		d.attemptEnded(a, Reply{Result: logic.NotSent})
 		return
 	}
 	c.state, c.attempt, a.connection = connectionBusy, a, c
-	if err := c.conn.Send(a.req.command, a.timeoutAt-f.clock.Now()); err != nil {
-		f.abortAttempt(a, Reply{Result: logic.ConnectFailed})
+	if err := c.conn.Send(a.req.command, a.timeoutAt-d.clock.Now()); err != nil {
+		d.abortAttempt(a, Reply{Result: logic.ConnectFailed})
 		return
 	}
 	a.written = true
 }
 
 // closeConnection closes a connection and removes it from all lists that contain it.
-func (f *Front) closeConnection(c *connection) {
+func (d *Dispatcher) closeConnection(c *connection) {
 	if c.state == connectionClosed {
 		return
 	}
 	c.state = connectionClosed
-	f.connections--
-	f.removeFromIdleOrder(c)
+	d.connections--
+	d.removeFromIdleOrder(c)
 	c.conn.Close()
 	target := c.target
 	delete(target.connections, c)
@@ -200,56 +200,56 @@
 	if target.probe == c {
 		target.probe = nil
 	}
-	f.removeIfGone(target)
+	d.removeIfGone(target)
 }
 
 // releaseConnection makes an established connection available again. An attempt that waits for a connection to this
 // member to open takes it over, and the connection that the attempt waited for becomes idle once it is established.
-func (f *Front) releaseConnection(c *connection) {
+func (d *Dispatcher) releaseConnection(c *connection) {
 	target := c.target
 	c.state = connectionIdle
-	if target.state != logic.Ready || !c.conn.Quiet() {
-		f.closeConnection(c)
+	if target.state != logic.Ready || !c.conn.Reusable() {
+		d.closeConnection(c)
 		return
 	}
 	if i := slices.IndexFunc(target.opening, func(x *connection) bool { return x.attempt != nil }); i >= 0 {
 		a := target.opening[i].attempt
 		target.opening[i].attempt = nil
-		f.writeAttempt(c, a)
+		d.writeAttempt(c, a)
 		return
 	}
 	target.idleConnections = append(target.idleConnections, c)
-	c.idleElement = f.idleConnections.PushBack(c)
-	if f.cfg.IdleClose > 0 {
-		f.Deadlines.Set(&c.Deadline, f.clock.Now()+time.Duration(idleCloseFraction*float64(f.cfg.IdleClose)), func() {
-			f.Counters.ClosedIdle++
-			f.closeConnection(c)
+	c.idleElement = d.idleConnections.PushBack(c)
+	if d.cfg.DatabaseIdleTimeout > 0 {
+		d.Deadlines.Set(&c.Deadline, d.clock.Now()+time.Duration(idleCloseFraction*float64(d.cfg.DatabaseIdleTimeout)), func() {
+			d.Counters.ClosedIdle++
+			d.closeConnection(c)
 		})
 	}
 }
 
-// Up implements Listener.
-func (c *connection) Up() {
-	f := c.f
+// Connected implements ConnHandler.
+func (c *connection) Connected() {
+	d := c.dispatcher
 	if c.state != connectionOpening {
 		return
 	}
-	f.Deadlines.Clear(&c.Deadline)
+	d.Deadlines.Clear(&c.Deadline)
 	if c.probing {
-		f.writeProbe(c)
+		d.writeProbe(c)
 		return
 	}
 	c.target.opening = slices.DeleteFunc(c.target.opening, func(x *connection) bool { return x == c })
 	if a := c.attempt; a != nil {
-		f.writeAttempt(c, a)
+		d.writeAttempt(c, a)
 		return
 	}
-	f.releaseConnection(c)
+	d.releaseConnection(c)
 }
 
-// Reply implements Listener.
+// Reply implements ConnHandler.
 func (c *connection) Reply(r Reply) {
-	f := c.f
+	d := c.dispatcher
 	switch c.state {
 	case connectionOpening: // the database rejected the connection; no command was written
 		if r.Result != logic.Full {
@@ -258,32 +258,32 @@
 		c.fail(r)
 		return
 	case connectionIdle, connectionClosed: // after unexpected data, the next answer could not be trusted
-		c.Down()
+		c.Disconnected()
 		return
 	}
 	if c.probing {
-		took := f.clock.Now() - c.probeSentAt
+		took := d.clock.Now() - c.probeSentAt
 		c.probing, c.target.probe = false, nil
-		f.releaseConnection(c)
-		f.finishProbe(c.target, r, took)
+		d.releaseConnection(c)
+		d.finishProbe(c.target, r, took)
 		return
 	}
 	a := c.attempt
 	c.attempt, a.connection = nil, nil
-	f.releaseConnection(c)
-	f.attemptEnded(a, r)
+	d.releaseConnection(c)
+	d.attemptEnded(a, r)
 }
 
-// Down implements Listener. A connection that was lost while being opened proves that the request never ran; later,
-// the request may have run. The database may have closed a reused connection before a probe arrived on it, which says
+// Disconnected implements ConnHandler. A request whose connection was lost while being opened was not executed; later,
+// it may have been executed. The database may have closed a reused connection before a probe arrived on it, which says
 // nothing about the member: the probe is repeated on a new connection.
-func (c *connection) Down() {
+func (c *connection) Disconnected() {
 	if c.state == connectionClosed {
 		return
 	}
 	if c.probing && c.reused && c.state == connectionBusy && c.target.state == logic.Ready {
-		c.f.closeConnection(c)
-		c.f.openProbe(c.target)
+		c.dispatcher.closeConnection(c)
+		c.dispatcher.openProbe(c.target)
 		return
 	}
 	r := Reply{Result: logic.Reset}
@@ -293,9 +293,9 @@
 	c.fail(r)
 }
 
-// Spoilt implements Listener. A request that was sent may have run. A probe yields no report, but shows that the
-// member is alive, so its result is Failed instead of Reset.
-func (c *connection) Spoilt() {
+// MalformedReply implements ConnHandler. A request that was sent may have been executed. A probe yields no report, but
+// shows that the member is alive, so its result is Failed instead of Reset.
+func (c *connection) MalformedReply() {
 	r := Reply{Result: logic.Reset}
 	switch {
 	case c.state == connectionClosed:
@@ -311,70 +311,71 @@
 // fail closes a connection and ends the attempt or probe that uses it with the given result.
 func (c *connection) fail(r Reply) {
 	a := c.attempt
-	c.f.closeConnection(c)
+	c.dispatcher.closeConnection(c)
 	switch {
 	case a != nil:
-		c.f.attemptEnded(a, r)
+		c.dispatcher.attemptEnded(a, r)
 	case c.probing:
-		c.f.finishProbe(c.target, r, 0)
+		c.dispatcher.finishProbe(c.target, r, 0)
 	}
 }
 
 // Probe implements logic.Actions. A probe has a connection to itself, an idle or a new one, and is timed from its
 // writing: it measures the round-trip time without the handshake or an earlier request.
-func (f *Front) Probe(to logic.MemberID) {
-	m := f.membersByID[to]
+func (d *Dispatcher) Probe(to logic.MemberID) {
+	m := d.membersByID[to]
 	if m == nil || m.probe != nil {
-		f.reportProbeNotSent(to)
+		d.reportProbeNotSent(to)
 		return
 	}
-	f.Counters.Probes++
-	if c := f.takeIdle(m); c != nil {
+	d.Counters.Probes++
+	if c := d.takeIdle(m); c != nil {
 		c.probing, c.reused, m.probe = true, true, c
-		f.writeProbe(c)
+		d.writeProbe(c)
 		return
 	}
-	f.openProbe(m)
+	d.openProbe(m)
 }
 
 // openProbe opens a connection whose first command is a probe.
-func (f *Front) openProbe(m *member) {
-	c := f.openConnection(m)
+func (d *Dispatcher) openProbe(m *member) {
+	c := d.openConnection(m)
 	if c == nil {
-		f.reportProbeNotSent(m.id)
+		d.reportProbeNotSent(m.id)
 		return
 	}
 	c.probing, c.reused, m.probe = true, false, c
 }
 
 // reportProbeNotSent tells the router that no probe was sent, which says nothing about the member.
-func (f *Front) reportProbeNotSent(to logic.MemberID) {
-	f.notifyRouter(func() { f.router.ProbeResult(f.clock.Now(), logic.ProbeResult{Member: to, Result: logic.NotSent}) })
+func (d *Dispatcher) reportProbeNotSent(to logic.MemberID) {
+	d.notifyRouter(func() { d.router.ProbeResult(d.clock.Now(), logic.ProbeResult{Member: to, Result: logic.NotSent}) })
 }
 
 // writeProbe sends a probe on an established connection and sets its timeout.
-func (f *Front) writeProbe(c *connection) {
-	c.state, c.probeSentAt = connectionBusy, f.clock.Now()
-	f.Deadlines.Set(&c.Deadline, c.probeSentAt+probeTimeout, func() { c.fail(Reply{Result: logic.TimedOut}) })
+func (d *Dispatcher) writeProbe(c *connection) {
+	c.state, c.probeSentAt = connectionBusy, d.clock.Now()
+	d.Deadlines.Set(&c.Deadline, c.probeSentAt+probeTimeout, func() { c.fail(Reply{Result: logic.TimedOut}) })
 	if err := c.conn.Probe(); err != nil {
 		c.fail(Reply{Result: logic.ConnectFailed})
 	}
 }
 
-// finishProbe counts and logs the result of a probe and tells it to the router.
-func (f *Front) finishProbe(m *member, r Reply, took time.Duration) {
+// finishProbe counts and logs the result of a probe and reports it to the router.
+func (d *Dispatcher) finishProbe(m *member, r Reply, took time.Duration) {
 	if r.Result == logic.OK {
-		f.Counters.ProbesOK++
+		d.Counters.ProbesOK++
 	}
 	m.recordReply(r, true)
-	p := logic.ProbeResult{Member: m.id, Result: r.Result, Took: took, Report: f.loadReport(r)}
-	f.notifyRouter(func() { f.router.ProbeResult(f.clock.Now(), p) })
+	p := logic.ProbeResult{Member: m.id, Result: r.Result, Took: took, Report: d.loadReport(r)}
+	d.notifyRouter(func() { d.router.ProbeResult(d.clock.Now(), p) })
 }
 
 // loadReport converts the load report of an answer to the router's terms.
-func (f *Front) loadReport(r Reply) logic.Report {
-	if !r.Load.Told {
+func (d *Dispatcher) loadReport(r Reply) logic.Report {
+	if !r.LoadReport.Present {
 		return logic.Report{Queue: -1}
 	}
-	return logic.Report{Role: r.Load.Role, Position: positionFromUnixSeconds(f.clock, r.Load.Position), Queue: r.Load.Queue}
+	return logic.Report{Role: r.LoadReport.Role, Position: positionFromUnixSeconds(d.clock, r.LoadReport.Position),
+		Queue: r.LoadReport.Queue}
 }
--- a/internal/state/counters.go
+++ b/internal/state/counters.go
@@ -7,21 +7,21 @@
 	"havenproxy/logic"
 )
 
-// Counters holds the counters of the proxy since its start. Package net counts client connections and invalid answers in
-// it.
+// Counters holds the counters of the proxy since its start. Package net counts client connections and malformed
+// replies in it.
 type Counters struct {
-	Taken, Served, Refused, Failed, Abandoned      uint64 // requests accepted, and how they ended
-	Late                                           uint64 // requests that ended more than lateTolerance after their deadline
-	NoTime, NoPrimary, Crowded                     uint64 // refusals by reason
-	Sent                                           uint64 // attempts started
-	OK, Miss, Error, Full, TimedOut, ConnectFailed uint64 // attempts by result
-	Reset, Cancelled                               uint64
-	Probes, ProbesOK                               uint64
-	Opened, ClosedIdle, NoRoom, Spoilt             uint64 // database connections
-	ListCalls, ListFailures                        uint64
-	Clients, MadeRoom, TurnedAway, Malformed       uint64 // client connections
+	Accepted, Served, Refused, Failed, Abandoned                 uint64 // requests accepted, and how they ended
+	Late                                                         uint64 // requests that ended more than lateTolerance after their deadline
+	NoTime, NoPrimary, Overload                                  uint64 // refusals by reason
+	Sent                                                         uint64 // attempts started
+	OK, Miss, Error, Full, TimedOut, ConnectFailed               uint64 // attempts by result
+	Reset, Cancelled                                             uint64
+	Probes, ProbesOK                                             uint64
+	Opened, ClosedIdle, ConnectionLimitReached, MalformedReplies uint64 // database connections
+	ListCalls, ListFailures                                      uint64
+	Clients, ClientsEvicted, ClientsRejected, Malformed          uint64 // client connections
 
-	LongestHold time.Duration // the longest time that the event loop was blocked
+	LongestStall time.Duration // the longest time that the event loop was blocked
 }
 
 // attemptEnded counts an attempt by its result.
@@ -54,26 +54,26 @@
 	case logic.RefusedNoPrimary:
 		c.NoPrimary++
 	case logic.RefusedOverload:
-		c.Crowded++
+		c.Overload++
 	}
 }
 
 // LogValue implements slog.LogValuer.
 func (c *Counters) LogValue() slog.Value {
 	return slog.GroupValue(
-		slog.Uint64("taken", c.Taken), slog.Uint64("served", c.Served), slog.Uint64("refused", c.Refused),
+		slog.Uint64("taken", c.Accepted), slog.Uint64("served", c.Served), slog.Uint64("refused", c.Refused),
 		slog.Uint64("failed", c.Failed), slog.Uint64("abandoned", c.Abandoned), slog.Uint64("late", c.Late),
 		slog.Uint64("refused_no_time", c.NoTime), slog.Uint64("refused_no_primary", c.NoPrimary),
-		slog.Uint64("refused_crowded", c.Crowded),
+		slog.Uint64("refused_crowded", c.Overload),
 		slog.Uint64("sent", c.Sent), slog.Uint64("ok", c.OK), slog.Uint64("miss", c.Miss),
 		slog.Uint64("error", c.Error), slog.Uint64("full", c.Full), slog.Uint64("timed_out", c.TimedOut),
 		slog.Uint64("connect_failed", c.ConnectFailed), slog.Uint64("reset", c.Reset),
 		slog.Uint64("cancelled", c.Cancelled),
 		slog.Uint64("probes", c.Probes), slog.Uint64("probes_ok", c.ProbesOK),
 		slog.Uint64("opened", c.Opened), slog.Uint64("closed_idle", c.ClosedIdle),
-		slog.Uint64("no_room", c.NoRoom), slog.Uint64("spoilt", c.Spoilt),
+		slog.Uint64("no_room", c.ConnectionLimitReached), slog.Uint64("spoilt", c.MalformedReplies),
 		slog.Uint64("list_calls", c.ListCalls), slog.Uint64("list_failures", c.ListFailures),
-		slog.Uint64("clients", c.Clients), slog.Uint64("made_room", c.MadeRoom),
-		slog.Uint64("turned_away", c.TurnedAway), slog.Uint64("malformed", c.Malformed),
-		slog.Duration("longest_hold", c.LongestHold))
+		slog.Uint64("clients", c.Clients), slog.Uint64("made_room", c.ClientsEvicted),
+		slog.Uint64("turned_away", c.ClientsRejected), slog.Uint64("malformed", c.Malformed),
+		slog.Duration("longest_hold", c.LongestStall))
 }
--- a/internal/state/deadlines.go
+++ b/internal/state/deadlines.go
@@ -6,7 +6,7 @@
 )
 
 // Deadlines is a queue of callbacks ordered by the time at which they are due. It starts no goroutines: its owner
-// calls Run, and all calls must come from one goroutine.
+// calls RunDue, and all calls must come from one goroutine.
 type Deadlines struct {
 	heap deadlineHeap
 }
@@ -45,9 +45,9 @@
 	return q.heap[0].at, true
 }
 
-// Run calls the callbacks that are due at the time now. It runs at most as many entries as were queued at the call,
-// so that a callback that always sets its own deadline again can't keep Run from returning.
-func (q *Deadlines) Run(now time.Duration) {
+// RunDue calls the callbacks that are due at the time now. It runs at most as many entries as were queued at the call,
+// so that a callback that always sets its own deadline again can't keep RunDue from returning.
+func (q *Deadlines) RunDue(now time.Duration) {
 	for n := len(q.heap); n > 0 && len(q.heap) > 0 && q.heap[0].at <= now; n-- {
 		heap.Pop(&q.heap).(*Deadline).callback()
 	}
--- a/internal/state/dispatcher.go
+++ b/internal/state/dispatcher.go
@@ -18,72 +18,73 @@
 // directions.
 const clientRoundTripReserve = 5 * time.Millisecond
 
-// Caller receives the answer to one request. Exactly one of its methods is called, once, unless the request is
+// Responder receives the answer to one request. Exactly one of its methods is called, once, unless the request is
 // abandoned first.
-type Caller interface {
+type Responder interface {
 	Served(body []byte)               // the answer of a database, valid during the call only
 	Refused(retryAfter time.Duration) // the request may be retried safely, best after retryAfter
-	Failed()                          // the request may or may not have run
+	Failed()                          // the request may or may not have been executed
 }
 
 // Command is the encoded form of a request.
 type Command interface {
-	// AppendTo appends the command to dst, for a database that has the time wait to answer it.
-	AppendTo(dst []byte, wait time.Duration) []byte
+	// AppendTo appends the command to dst, for a database that has the given timeout to answer it.
+	AppendTo(dst []byte, timeout time.Duration) []byte
 }
 
-// ErrTwice is returned for a request with the name of another open request.
-var ErrTwice = errors.New("a request of that id is open")
+// ErrDuplicateRequest is returned for a request with the ClientRequestID of another open request.
+var ErrDuplicateRequest = errors.New("a request of that id is open")
 
 // Request is a query of a client.
 type Request struct {
-	Name    string // unique to the request; empty = none
-	Class   string
-	Wait    time.Duration // how long the client waits, from when it sent the request
-	Session uint64
-	Group   int
-	After   int64 // token: time of the session's last commit in Unix milliseconds; 0 = none
-	Retry   bool
-	Command Command
-	Caller  Caller
+	ClientRequestID string // chosen by the client, unique to the request; empty = none
+	Class           string
+	Timeout         time.Duration // how long the client waits, from when it sent the request
+	Session         uint64
+	Group           int
+	TokenMillis     int64 // token: time of the session's last commit in Unix milliseconds; 0 = none
+	Retry           bool
+	Command         Command
+	Responder       Responder
 }
 
-// Watcher queries the discovery service. It reports lists and failures later, by Front.Listed and Front.ListFailed.
-type Watcher interface {
+// Discovery queries the discovery service. It reports lists and failures later, by Dispatcher.ApplyList and
+// Dispatcher.ListFailed.
+type Discovery interface {
 	Watch(on bool) // starts or stops watching for changes
 	Fetch()        // requests the whole list once
 }
 
-// Config describes the deployment to a Front.
+// Config describes the deployment to a Dispatcher.
 type Config struct {
-	Logic          logic.Config
-	Zones          []string      // zone names, indexed by the zone numbers of Logic
-	IdleClose      time.Duration // the databases close connections that have been idle for so long; 0 = never
-	ConnectTimeout time.Duration
-	MaxConnections int // limit of open connections to databases
+	Logic               logic.Config
+	Zones               []string      // zone names, indexed by the zone numbers of Logic
+	DatabaseIdleTimeout time.Duration // the databases close connections that have been idle for so long; 0 = never
+	ConnectTimeout      time.Duration
+	MaxConnections      int // limit of open connections to databases
 }
 
-// Front dispatches between clients, databases and the router. It implements logic.Actions. All calls must come from
-// one goroutine.
-type Front struct {
+// Dispatcher dispatches between clients, databases and the router. It implements logic.Actions. All calls must come
+// from one goroutine.
+type Dispatcher struct {
 	Counters  Counters
 	Deadlines Deadlines
 
 	cfg          Config
 	classIndexes map[string]int // index into Config.Logic.Classes by class name
 	clock        Clock
-	opener       Opener
-	watcher      Watcher
+	dialer       Dialer
+	discovery    Discovery
 	router       logic.Events
 
 	pendingEvents []func() // events to deliver to the router, which handles one at a time
 	delivering    bool     // an event is being delivered
 
-	shutdownAt    time.Duration // latest deadline of any request while the proxy shuts down; 0 = not shutting down
-	lastRequestID logic.RequestID
-	requests      map[logic.RequestID]*request
-	named         map[string]struct{} // names of open requests
-	timers        map[logic.TimerID]*Deadline
+	shutdownAt           time.Duration // latest deadline of any request while the proxy shuts down; 0 = not shutting down
+	lastRequestID        logic.RequestID
+	requests             map[logic.RequestID]*request
+	openClientRequestIDs map[string]struct{} // those of the open requests
+	timers               map[logic.TimerID]*Deadline
 
 	membersByName    map[string]*member
 	membersByID      map[logic.MemberID]*member
@@ -97,16 +98,16 @@
 
 // request is an open request.
 type request struct {
-	id             logic.RequestID
-	name           string
-	class          int // index into Config.Logic.Classes
-	group          int
-	receivedAt     time.Duration
-	answerDeadline time.Duration // when the answer must be sent to the client
-	command        Command
-	responder      Caller   // nil once answered or abandoned
-	attempts       int      // number of attempts so far
-	openAttempt    *attempt // the attempt that has not ended, at most one; nil = none
+	id              logic.RequestID
+	clientRequestID string
+	class           int // index into Config.Logic.Classes
+	group           int
+	receivedAt      time.Duration
+	answerDeadline  time.Duration // when the answer must be sent to the client
+	command         Command
+	responder       Responder // nil once answered or abandoned
+	attempts        int       // number of attempts so far
+	openAttempt     *attempt  // the attempt that has not ended, at most one; nil = none
 }
 
 // attempt is one sending of a request to a member. Its Deadline fires at timeoutAt.
@@ -122,270 +123,272 @@
 	written    bool          // its last byte was written
 }
 
-// New returns a Front with a new router. Start sets its watcher and must be called before requests are accepted.
-func New(cfg Config, clock Clock, opener Opener) (*Front, error) {
-	f := &Front{cfg: cfg, classIndexes: map[string]int{}, clock: clock, opener: opener,
-		requests: map[logic.RequestID]*request{}, named: map[string]struct{}{}, timers: map[logic.TimerID]*Deadline{},
+// New returns a Dispatcher with a new router. Start sets its Discovery and must be called before requests are accepted.
+func New(cfg Config, clock Clock, dialer Dialer) (*Dispatcher, error) {
+	d := &Dispatcher{cfg: cfg, classIndexes: map[string]int{}, clock: clock, dialer: dialer,
+		requests: map[logic.RequestID]*request{}, openClientRequestIDs: map[string]struct{}{},
+		timers:        map[logic.TimerID]*Deadline{},
 		membersByName: map[string]*member{}, membersByID: map[logic.MemberID]*member{}}
 	for i, c := range cfg.Logic.Classes {
-		f.classIndexes[c.Name] = i
+		d.classIndexes[c.Name] = i
 	}
 	var err error
-	f.router, err = logic.New(cfg.Logic, f)
-	return f, err
+	d.router, err = logic.New(cfg.Logic, d)
+	return d, err
 }
 
 // Start delivers the first event to the router: the member list as this proxy last knew it. On this event the router
 // sets its timers.
-func (f *Front) Start(w Watcher, known List) {
-	f.watcher = w
+func (d *Dispatcher) Start(service Discovery, known List) {
+	d.discovery = service
 	known.Kind = logic.ListCached
-	f.Listed(known)
+	d.ApplyList(known)
 }
 
 // notifyRouter delivers an event to the router, after all earlier events. An event that results directly from an
 // action of the router is delivered after the router has returned, so that the router is never called from within its
 // own call.
-func (f *Front) notifyRouter(event func()) {
-	f.pendingEvents = append(f.pendingEvents, event)
-	if f.delivering {
+func (d *Dispatcher) notifyRouter(event func()) {
+	d.pendingEvents = append(d.pendingEvents, event)
+	if d.delivering {
 		return
 	}
-	f.delivering = true
-	for i := 0; i < len(f.pendingEvents); i++ {
-		f.pendingEvents[i]()
-		f.pendingEvents[i] = nil
+	d.delivering = true
+	for i := 0; i < len(d.pendingEvents); i++ {
+		d.pendingEvents[i]()
+		d.pendingEvents[i] = nil
 	}
-	f.pendingEvents, f.delivering = f.pendingEvents[:0], false
+	d.pendingEvents, d.delivering = d.pendingEvents[:0], false
 }
 
-// Pending returns the number of open requests, including abandoned ones with an open attempt.
-func (f *Front) Pending() int { return len(f.requests) }
+// OpenRequests returns the number of open requests, including abandoned ones with an open attempt.
+func (d *Dispatcher) OpenRequests() int { return len(d.requests) }
 
 // Connections returns the number of connections to databases that are open or being opened.
-func (f *Front) Connections() int { return f.connections }
+func (d *Dispatcher) Connections() int { return d.connections }
 
-// End announces that the proxy shuts down at the time at. Open and new requests must be answered by then, even if
-// their clients would wait longer.
-func (f *Front) End(at time.Duration) {
-	f.shutdownAt = at
-	for _, q := range f.requests {
+// ShutDownAt announces that the proxy shuts down at the time at. Open and new requests must be answered by then, even
+// if their clients would wait longer.
+func (d *Dispatcher) ShutDownAt(at time.Duration) {
+	d.shutdownAt = at
+	for _, q := range d.requests {
 		if a := q.openAttempt; a != nil {
-			f.setTimeout(a)
+			d.setTimeout(a)
 		}
 	}
 }
 
 // setTimeout sets the deadline of an attempt, not later than the shutdown.
-func (f *Front) setTimeout(a *attempt) {
-	if f.shutdownAt > 0 {
-		a.timeoutAt = min(a.timeoutAt, f.shutdownAt)
+func (d *Dispatcher) setTimeout(a *attempt) {
+	if d.shutdownAt > 0 {
+		a.timeoutAt = min(a.timeoutAt, d.shutdownAt)
 	}
-	f.Deadlines.Set(&a.Deadline, a.timeoutAt, func() { f.expireAttempt(a) })
+	d.Deadlines.Set(&a.Deadline, a.timeoutAt, func() { d.expireAttempt(a) })
 }
 
 // answerDeadline returns when the answer must be sent to a client that waits so long.
-func (f *Front) answerDeadline(wait time.Duration) time.Duration {
-	at := f.clock.Now() + max(wait-clientRoundTripReserve, 0)
-	if f.shutdownAt > 0 {
-		at = min(at, f.shutdownAt)
+func (d *Dispatcher) answerDeadline(timeout time.Duration) time.Duration {
+	at := d.clock.Now() + max(timeout-clientRoundTripReserve, 0)
+	if d.shutdownAt > 0 {
+		at = min(at, d.shutdownAt)
 	}
 	return at
 }
 
-// Take accepts a request and passes it to the router. If it returns an error, because the class is unknown or another
-// open request has the same name, the request's Caller is not called.
-func (f *Front) Take(in Request) (logic.RequestID, error) {
-	class, ok := f.classIndexes[in.Class]
+// Submit accepts a request and passes it to the router. If it returns an error, because the class is unknown or another
+// open request has the same ClientRequestID, the request's Responder is not called.
+func (d *Dispatcher) Submit(in Request) (logic.RequestID, error) {
+	class, ok := d.classIndexes[in.Class]
 	if !ok {
 		return 0, fmt.Errorf("unknown class %q", in.Class)
 	}
-	// Databases and deduplication keys could not tell two requests of one name apart, and one client would get the
-	// answer for the other.
-	if in.Name != "" {
-		if _, twice := f.named[in.Name]; twice {
-			return 0, ErrTwice
+	// Databases and deduplication keys could not tell two requests of one id apart, and one client would get the answer
+	// for the other.
+	if in.ClientRequestID != "" {
+		if _, duplicate := d.openClientRequestIDs[in.ClientRequestID]; duplicate {
+			return 0, ErrDuplicateRequest
 		}
-		f.named[in.Name] = struct{}{}
+		d.openClientRequestIDs[in.ClientRequestID] = struct{}{}
 	}
-	f.lastRequestID++
-	if f.Counters.Taken++; f.Counters.Taken == 1 {
-		slog.Info("first request", "id", in.Name, "class", in.Class, "group", in.Group, "waits", in.Wait)
+	d.lastRequestID++
+	if d.Counters.Accepted++; d.Counters.Accepted == 1 {
+		slog.Info("first request", "id", in.ClientRequestID, "class", in.Class, "group", in.Group, "waits", in.Timeout)
 	}
-	q := &request{id: f.lastRequestID, name: in.Name, class: class, group: in.Group, receivedAt: f.clock.Now(),
-		answerDeadline: f.answerDeadline(in.Wait), command: in.Command, responder: in.Caller}
-	f.requests[q.id] = q
+	q := &request{id: d.lastRequestID, clientRequestID: in.ClientRequestID, class: class, group: in.Group,
+		receivedAt: d.clock.Now(), answerDeadline: d.answerDeadline(in.Timeout), command: in.Command, responder: in.Responder}
+	d.requests[q.id] = q
 	out := logic.Request{ID: q.id, Class: class, Group: logic.GroupID(in.Group), Deadline: q.answerDeadline, Retry: in.Retry}
-	switch f.cfg.Logic.Classes[class].RequiredFreshness { // in other classes, Session is not the key of a session
+	switch d.cfg.Logic.Classes[class].RequiredFreshness { // in other classes, Session is not the key of a session
 	case logic.FreshnessSession:
-		out.Session, out.TokenAge = logic.SessionID(in.Session), tokenAge(f.clock, in.After)
+		out.Session, out.TokenAge = logic.SessionID(in.Session), tokenAge(d.clock, in.TokenMillis)
 	case logic.FreshnessWrite:
 		out.Session = logic.SessionID(in.Session)
 	}
-	f.notifyRouter(func() { f.router.Request(f.clock.Now(), out) })
+	d.notifyRouter(func() { d.router.Request(d.clock.Now(), out) })
 	return q.id, nil
 }
 
 // Abandon reports that the client of a request has left.
-func (f *Front) Abandon(id logic.RequestID) {
-	q := f.requests[id]
+func (d *Dispatcher) Abandon(id logic.RequestID) {
+	q := d.requests[id]
 	if q == nil || q.responder == nil {
 		return
 	}
 	q.responder = nil
-	f.Counters.Abandoned++
-	f.recordRequestEnd(q, "abandoned", "")
-	f.notifyRouter(func() {
-		f.router.Abandoned(f.clock.Now(), id)
-		f.removeIfFinished(q)
+	d.Counters.Abandoned++
+	d.recordRequestEnd(q, "abandoned", "")
+	d.notifyRouter(func() {
+		d.router.Abandoned(d.clock.Now(), id)
+		d.removeIfFinished(q)
 	})
 	if q.openAttempt != nil {
-		f.cancelUnsentAttempt(q.openAttempt)
+		d.cancelUnsentAttempt(q.openAttempt)
 	}
 }
 
 // removeIfFinished removes a request that is answered or abandoned and has no open attempt.
-func (f *Front) removeIfFinished(q *request) {
+func (d *Dispatcher) removeIfFinished(q *request) {
 	if q.responder == nil && q.openAttempt == nil {
-		delete(f.requests, q.id)
-		delete(f.named, q.name)
+		delete(d.requests, q.id)
+		delete(d.openClientRequestIDs, q.clientRequestID)
 	}
 }
 
 // answer passes the final answer to the client and ends the request. It does nothing for a request that was answered
 // or abandoned before. The reason is empty for a request that is served.
-func (f *Front) answer(id logic.RequestID, counter *uint64, ending, reason string, respond func(Caller)) {
-	q := f.requests[id]
+func (d *Dispatcher) answer(id logic.RequestID, counter *uint64, ending, reason string, respond func(Responder)) {
+	q := d.requests[id]
 	if q == nil || q.responder == nil {
 		return
 	}
 	responder := q.responder
 	q.responder = nil
 	*counter++
-	f.recordRequestEnd(q, ending, reason)
+	d.recordRequestEnd(q, ending, reason)
 	respond(responder)
-	f.removeIfFinished(q)
+	d.removeIfFinished(q)
 }
 
 // Refuse implements logic.Actions.
-func (f *Front) Refuse(id logic.RequestID, retryAfter time.Duration, reason logic.Refusal) {
-	f.Counters.countRefusal(reason)
-	f.answer(id, &f.Counters.Refused, "refused", refusalNames[reason], func(c Caller) { c.Refused(retryAfter) })
+func (d *Dispatcher) Refuse(id logic.RequestID, retryAfter time.Duration, reason logic.Refusal) {
+	d.Counters.countRefusal(reason)
+	d.answer(id, &d.Counters.Refused, "refused", refusalNames[reason], func(resp Responder) { resp.Refused(retryAfter) })
 }
 
 // Fail implements logic.Actions.
-func (f *Front) Fail(id logic.RequestID) {
-	f.answer(id, &f.Counters.Failed, "failed", "it may have run, and may not be repeated", Caller.Failed)
+func (d *Dispatcher) Fail(id logic.RequestID) {
+	d.answer(id, &d.Counters.Failed, "failed", "it may have run, and may not be repeated", Responder.Failed)
 }
 
 // Send implements logic.Actions. It starts an attempt, whose outcome is reported later, even if nothing can be sent.
-func (f *Front) Send(id logic.RequestID, target logic.MemberID, timeout, sendBy time.Duration) {
-	now := f.clock.Now()
-	q, m := f.requests[id], f.membersByID[target]
+func (d *Dispatcher) Send(id logic.RequestID, target logic.MemberID, timeout, sendBy time.Duration) {
+	now := d.clock.Now()
+	q, m := d.requests[id], d.membersByID[target]
 	if q == nil {
 		return
 	}
 	a := &attempt{req: q, number: q.attempts, target: m, timeoutAt: now + timeout, sendBy: sendBy, startedAt: now}
 	q.attempts++
-	if m == nil || q.responder == nil || q.openAttempt != nil || f.shutdownAt > 0 && now >= f.shutdownAt {
-		f.notifyRouter(func() {
-			f.router.Outcome(f.clock.Now(), logic.Outcome{Request: id, Attempt: a.number, Member: target,
+	if m == nil || q.responder == nil || q.openAttempt != nil || d.shutdownAt > 0 && now >= d.shutdownAt {
+		d.notifyRouter(func() {
+			d.router.Outcome(d.clock.Now(), logic.Outcome{Request: id, Attempt: a.number, Member: target,
 				Result: logic.NotSent, Answered: q.responder == nil})
 		})
 		return
 	}
-	f.Counters.Sent++
+	d.Counters.Sent++
 	q.openAttempt = a
-	f.setTimeout(a)
-	f.assignConnection(a)
+	d.setTimeout(a)
+	d.assignConnection(a)
 }
 
 // Cancel implements logic.Actions. It cancels an attempt by closing its connection.
-func (f *Front) Cancel(id logic.RequestID, number int) {
-	if q := f.requests[id]; q != nil && q.openAttempt != nil && q.openAttempt.number == number {
-		f.abortAttempt(q.openAttempt, Reply{Result: logic.Cancelled})
+func (d *Dispatcher) Cancel(id logic.RequestID, number int) {
+	if q := d.requests[id]; q != nil && q.openAttempt != nil && q.openAttempt.number == number {
+		d.abortAttempt(q.openAttempt, Reply{Result: logic.Cancelled})
 	}
 }
 
 // expireAttempt ends an attempt that has reached its timeout. One that was never written counts as a failure to
 // connect.
-func (f *Front) expireAttempt(a *attempt) {
+func (d *Dispatcher) expireAttempt(a *attempt) {
 	if a.written {
-		f.abortAttempt(a, Reply{Result: logic.TimedOut})
+		d.abortAttempt(a, Reply{Result: logic.TimedOut})
 	} else {
-		f.abortAttempt(a, Reply{Result: logic.ConnectFailed})
+		d.abortAttempt(a, Reply{Result: logic.ConnectFailed})
 	}
 }
 
 // abortAttempt ends an attempt without an answer. It closes the connection, so that a late answer can't be taken for
 // the answer to another request.
-func (f *Front) abortAttempt(a *attempt, r Reply) {
+func (d *Dispatcher) abortAttempt(a *attempt, r Reply) {
 	if c := a.connection; c != nil {
-		f.closeConnection(c)
+		d.closeConnection(c)
 	}
-	f.attemptEnded(a, r)
+	d.attemptEnded(a, r)
 }
 
 // cancelUnsentAttempt ends an attempt that still waits for its connection, so that it is never sent.
-func (f *Front) cancelUnsentAttempt(a *attempt) {
+func (d *Dispatcher) cancelUnsentAttempt(a *attempt) {
 	if !a.written {
-		f.abortAttempt(a, Reply{Result: logic.NotSent})
+		d.abortAttempt(a, Reply{Result: logic.NotSent})
 	}
 }
 
 // attemptEnded reports the outcome of an attempt to the router. Before that, an OK answer is passed to the client.
-func (f *Front) attemptEnded(a *attempt, r Reply) {
+func (d *Dispatcher) attemptEnded(a *attempt, r Reply) {
 	q := a.req
 	if q.openAttempt != a {
 		return
 	}
-	f.Deadlines.Clear(&a.Deadline)
+	d.Deadlines.Clear(&a.Deadline)
 	q.openAttempt = nil
 	if a.connection != nil {
 		a.connection.attempt = nil
 		a.connection = nil
 	}
-	f.Counters.attemptEnded(r.Result)
+	d.Counters.attemptEnded(r.Result)
 	a.target.recordReply(r, false)
 	switch {
 	case r.Result == logic.OK:
-		if f.Counters.Served == 0 {
-			slog.Info("first answer", "id", q.name, "after", f.clock.Now()-q.receivedAt)
+		if d.Counters.Served == 0 {
+			slog.Info("first answer", "id", q.clientRequestID, "after", d.clock.Now()-q.receivedAt)
 		}
-		f.answer(q.id, &f.Counters.Served, "served", "", func(c Caller) { c.Served(r.Body) })
-	case r.Unfit: // every member would reject the statement: report Cancelled, so that the router doesn't blame this one
+		d.answer(q.id, &d.Counters.Served, "served", "", func(resp Responder) { resp.Served(r.Body) })
+	case r.StatementError:
+		// Every member would reject the statement: report Cancelled, so that the router doesn't blame this one.
 		r.Result = logic.Cancelled
-		f.answer(q.id, &f.Counters.Failed, "failed", "the database rejects the statement", Caller.Failed)
+		d.answer(q.id, &d.Counters.Failed, "failed", "the database rejects the statement", Responder.Failed)
 	}
-	now := f.clock.Now()
+	now := d.clock.Now()
 	o := logic.Outcome{Request: q.id, Attempt: a.number, Member: a.target.id, Result: r.Result, Took: now - a.startedAt,
-		Answered: q.responder == nil, Role: r.Role, Position: fromUnix(f.clock, time.Duration(r.Position)*time.Millisecond),
-		LoadReport: f.loadReport(r)}
-	f.removeIfFinished(q)
-	f.notifyRouter(func() { f.router.Outcome(f.clock.Now(), o) })
+		Answered: q.responder == nil, Role: r.Role, Position: fromUnix(d.clock, time.Duration(r.Position)*time.Millisecond),
+		LoadReport: d.loadReport(r)}
+	d.removeIfFinished(q)
+	d.notifyRouter(func() { d.router.Outcome(d.clock.Now(), o) })
 }
 
 // SetTimer implements logic.Actions.
-func (f *Front) SetTimer(id logic.TimerID, at time.Duration) {
-	d := f.timers[id]
-	if d == nil {
-		d = &Deadline{}
-		f.timers[id] = d
+func (d *Dispatcher) SetTimer(id logic.TimerID, at time.Duration) {
+	deadline := d.timers[id]
+	if deadline == nil {
+		deadline = &Deadline{}
+		d.timers[id] = deadline
 	}
-	f.Deadlines.Set(d, at, func() { f.notifyRouter(func() { f.router.Timer(f.clock.Now(), id) }) })
+	d.Deadlines.Set(deadline, at, func() { d.notifyRouter(func() { d.router.Timer(d.clock.Now(), id) }) })
 }
 
 // Watch implements logic.Actions.
-func (f *Front) Watch(on bool) {
-	f.Counters.ListCalls++
-	f.watcher.Watch(on)
+func (d *Dispatcher) Watch(on bool) {
+	d.Counters.ListCalls++
+	d.discovery.Watch(on)
 }
 
 // Fetch implements logic.Actions.
-func (f *Front) Fetch() {
-	f.Counters.ListCalls++
-	f.watcher.Fetch()
+func (d *Dispatcher) Fetch() {
+	d.Counters.ListCalls++
+	d.discovery.Fetch()
 }
 
 // Log implements logic.Actions.
-func (f *Front) Log(text string) { slog.Info("router", "says", text) }
+func (d *Dispatcher) Log(text string) { slog.Info("router", "says", text) }
--- a/internal/state/dispatcher_test.go
+++ b/internal/state/dispatcher_test.go
@@ -10,11 +10,11 @@
 	"havenproxy/logic"
 )
 
-// harness runs a Front with fakes for its router, clock, connections and watcher. It records the events that the
+// harness runs a Dispatcher with fakes for its router, clock, connections and discovery. It records the events that the
 // router receives.
 type harness struct {
 	t           *testing.T
-	dispatcher  *Front
+	dispatcher  *Dispatcher
 	now         time.Duration
 	conns       []*fakeConn
 	received    []string // router events since the last check
@@ -25,7 +25,7 @@
 	onRequest   func() // called while the router handles a request
 	depth       int    // calls of the router that have not returned
 
-	givenUp int
+	abandonedDials int
 }
 
 func (h *harness) Now() time.Duration  { return h.now }
@@ -60,16 +60,16 @@
 func (h *harness) Abandoned(time.Duration, logic.RequestID) { h.record("abandoned") }
 func (h *harness) Watch(bool)                               {}
 func (h *harness) Fetch()                                   {}
-func (h *harness) GivenUp() int                             { return h.givenUp }
-func (h *harness) Open(address string, listener Listener) Conn {
-	c := &fakeConn{address: address, listener: listener}
+func (h *harness) AbandonedDials() int                      { return h.abandonedDials }
+func (h *harness) Dial(address string, handler ConnHandler) Conn {
+	c := &fakeConn{address: address, handler: handler}
 	h.conns = append(h.conns, c)
 	return c
 }
 
 type fakeConn struct {
 	address        string
-	listener       Listener
+	handler        ConnHandler
 	sent           int
 	probes         int
 	closed         bool
@@ -79,7 +79,7 @@
 
 func (c *fakeConn) Send(Command, time.Duration) error { c.sent++; return c.err }
 func (c *fakeConn) Probe() error                      { c.probes++; return c.err }
-func (c *fakeConn) Quiet() bool                       { return !c.unexpectedData }
+func (c *fakeConn) Reusable() bool                    { return !c.unexpectedData }
 func (c *fakeConn) Close()                            { c.closed = true }
 
 type fakeCommand struct{}
@@ -108,13 +108,13 @@
 	}
 	dispatcher, err := New(Config{Logic: logic.Config{Tick: time.Millisecond,
 		Classes: []logic.Class{class("any", logic.FreshnessAny), class("session", logic.FreshnessSession)}},
-		Zones: []string{"x", "y"}, IdleClose: 10 * time.Second,
+		Zones: []string{"x", "y"}, DatabaseIdleTimeout: 10 * time.Second,
 		ConnectTimeout: 250 * time.Millisecond, MaxConnections: connections}, h, h)
 	if err != nil {
 		t.Fatal(err)
 	}
 	h.dispatcher, dispatcher.router = dispatcher, h
-	dispatcher.Start(h, List{Entries: []Entry{{Name: "one", Address: "a:1", Zone: "y", State: logic.Ready},
+	dispatcher.Start(h, List{Entries: []ListEntry{{Name: "one", Address: "a:1", Zone: "y", State: logic.Ready},
 		{Name: "two", Address: "a:2", Zone: "?", State: logic.Ready}}})
 	h.received = nil // drop the events of the start
 	return h
@@ -124,7 +124,7 @@
 
 // submit accepts a request and sends its first attempt to member "one".
 func (h *harness) submit(c *fakeResponder) logic.RequestID {
-	id, err := h.dispatcher.Take(Request{Class: "any", Wait: time.Second, Command: fakeCommand{}, Caller: c})
+	id, err := h.dispatcher.Submit(Request{Class: "any", Timeout: time.Second, Command: fakeCommand{}, Responder: c})
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 // advance moves the clock forward and runs the deadlines that are due.
 func (h *harness) advance(d time.Duration) {
 	h.now += d
-	h.dispatcher.Deadlines.Run(h.now)
+	h.dispatcher.Deadlines.RunDue(h.now)
 }
 
 // outcome returns the event that record notes for an outcome.
@@ -155,8 +155,8 @@
 func TestRequestIsAnsweredOnceAndConnectionIsReused(t *testing.T) {
 	h, c := newHarness(t, 9), &fakeResponder{}
 	id := h.submit(c)
-	h.conns[0].listener.Up()
-	h.conns[0].listener.Reply(Reply{Result: logic.OK, Body: []byte("v"), Role: logic.RoleReplica, Position: 1767225600000})
+	h.conns[0].handler.Connected()
+	h.conns[0].handler.Reply(Reply{Result: logic.OK, Body: []byte("v"), Role: logic.RoleReplica, Position: 1767225600000})
 	h.dispatcher.Refuse(id, time.Second, logic.RefusedOverload) // ignored: the request was answered
 	h.dispatcher.Fail(id)
 	c.want(t, "served v")
@@ -168,27 +168,27 @@
 	if len(h.conns) != 1 || h.conns[0].sent != 2 {
 		t.Errorf("%d connections, %d requests on the first", len(h.conns), h.conns[0].sent)
 	}
-	if h.dispatcher.Pending() != 1 {
-		t.Errorf("%d requests pending", h.dispatcher.Pending())
+	if h.dispatcher.OpenRequests() != 1 {
+		t.Errorf("%d open requests", h.dispatcher.OpenRequests())
 	}
 }
 
-// The outcome must tell attempts that never ran from attempts that may have run: only after the last byte was written
-// may a request have run.
+// The outcome must tell attempts that were not executed from attempts that may have been executed: a request can be
+// executed only after its last byte was written.
 func TestOutcomeOfConnectionFailures(t *testing.T) {
 	for name, c := range map[string]struct {
 		do   func(h *harness)
 		want logic.Result
 	}{
-		"connection refused":  {func(h *harness) { h.conns[0].listener.Down() }, logic.ConnectFailed},
+		"connection refused":  {func(h *harness) { h.conns[0].handler.Disconnected() }, logic.ConnectFailed},
 		"connect timeout":     {func(h *harness) { h.advance(250 * time.Millisecond) }, logic.ConnectFailed},
-		"rejected as full":    {func(h *harness) { h.conns[0].listener.Reply(Reply{Result: logic.Full}) }, logic.Full},
-		"rejected with error": {func(h *harness) { h.conns[0].listener.Reply(Reply{Result: logic.Failed}) }, logic.ConnectFailed},
-		"write failed": {func(h *harness) { h.conns[0].err = errors.New("broken"); h.conns[0].listener.Up() },
+		"rejected as full":    {func(h *harness) { h.conns[0].handler.Reply(Reply{Result: logic.Full}) }, logic.Full},
+		"rejected with error": {func(h *harness) { h.conns[0].handler.Reply(Reply{Result: logic.Failed}) }, logic.ConnectFailed},
+		"write failed": {func(h *harness) { h.conns[0].err = errors.New("broken"); h.conns[0].handler.Connected() },
 			logic.ConnectFailed},
-		"lost after send":      {func(h *harness) { h.conns[0].listener.Up(); h.conns[0].listener.Down() }, logic.Reset},
-		"answer timeout":       {func(h *harness) { h.conns[0].listener.Up(); h.advance(500 * time.Millisecond) }, logic.TimedOut},
-		"cancelled after send": {func(h *harness) { h.conns[0].listener.Up(); h.dispatcher.Cancel(1, 0) }, logic.Cancelled},
+		"lost after send":      {func(h *harness) { h.conns[0].handler.Connected(); h.conns[0].handler.Disconnected() }, logic.Reset},
+		"answer timeout":       {func(h *harness) { h.conns[0].handler.Connected(); h.advance(500 * time.Millisecond) }, logic.TimedOut},
+		"cancelled after send": {func(h *harness) { h.conns[0].handler.Connected(); h.dispatcher.Cancel(1, 0) }, logic.Cancelled},
 		"cancelled unsent":     {func(h *harness) { h.dispatcher.Cancel(1, 0) }, logic.Cancelled},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -199,54 +199,54 @@
 			if !h.conns[0].closed {
 				t.Error("the connection is still open: a late answer would be taken for the answer to the next request")
 			}
-			h.conns[0].listener.Up()
-			h.conns[0].listener.Reply(Reply{Result: logic.OK})
-			h.conns[0].listener.Down()
+			h.conns[0].handler.Connected()
+			h.conns[0].handler.Reply(Reply{Result: logic.OK})
+			h.conns[0].handler.Disconnected()
 			h.want()
 		})
 	}
 }
 
 // No command may be sent on a connection that received data belonging to no command. Invalid data instead of an
-// answer ends the attempt, which may have run. A member that sends invalid data instead of a probe's answer still
+// answer ends the attempt, which may have been executed. A member that sends invalid data instead of a probe's answer still
 // counts as alive.
 func TestConnectionWithUnexpectedDataIsNotReused(t *testing.T) {
 	h := newHarness(t, 9)
 	h.submit(&fakeResponder{})
-	h.conns[0].listener.Up()
+	h.conns[0].handler.Connected()
 	h.conns[0].unexpectedData = true // a duplicate after the answer, which is valid
-	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	h.conns[0].handler.Reply(Reply{Result: logic.OK})
 	h.submit(&fakeResponder{})
-	h.conns[1].listener.Up()
-	h.conns[1].listener.Reply(Reply{Result: logic.OK})
+	h.conns[1].handler.Connected()
+	h.conns[1].handler.Reply(Reply{Result: logic.OK})
 	h.conns[1].unexpectedData = true // data that arrives while the connection is idle
 	h.submit(&fakeResponder{})
 	if !h.conns[0].closed || !h.conns[1].closed || h.conns[0].sent+h.conns[1].sent != 2 {
 		t.Errorf("closed: %v, %v; sent: %d, %d", h.conns[0].closed, h.conns[1].closed, h.conns[0].sent, h.conns[1].sent)
 	}
-	h.conns[2].listener.Up()
+	h.conns[2].handler.Connected()
 	h.received = nil
-	h.conns[2].listener.Spoilt()
+	h.conns[2].handler.MalformedReply()
 	h.dispatcher.Probe(h.id("two"))
-	h.conns[3].listener.Up()
-	h.conns[3].listener.Spoilt()
+	h.conns[3].handler.Connected()
+	h.conns[3].handler.MalformedReply()
 	h.want(outcome(logic.Reset, false), fmt.Sprintf("probe result %d", logic.Failed))
 }
 
-// Databases could not tell two open requests of one name apart, and one client would get the answer for the other.
-func TestDuplicateNameOfOpenRequestIsRejected(t *testing.T) {
+// Databases could not tell two open requests of one id apart, and one client would get the answer for the other.
+func TestDuplicateIDOfOpenRequestIsRejected(t *testing.T) {
 	h := newHarness(t, 9)
-	named := Request{Name: "n", Class: "any", Wait: time.Second, Command: fakeCommand{}, Caller: &fakeResponder{}}
-	id, err := h.dispatcher.Take(named)
+	named := Request{ClientRequestID: "n", Class: "any", Timeout: time.Second, Command: fakeCommand{}, Responder: &fakeResponder{}}
+	id, err := h.dispatcher.Submit(named)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err = h.dispatcher.Take(named); err != ErrTwice {
-		t.Errorf("duplicate name: error %v, want ErrTwice", err)
+	if _, err = h.dispatcher.Submit(named); err != ErrDuplicateRequest {
+		t.Errorf("duplicate id: error %v, want ErrDuplicateRequest", err)
 	}
 	h.dispatcher.Fail(id)
-	if _, err = h.dispatcher.Take(named); err != nil || len(h.dispatcher.named) != 1 {
-		t.Errorf("%v, %d names", err, len(h.dispatcher.named))
+	if _, err = h.dispatcher.Submit(named); err != nil || len(h.dispatcher.openClientRequestIDs) != 1 {
+		t.Errorf("%v, %d ids of open requests", err, len(h.dispatcher.openClientRequestIDs))
 	}
 }
 
@@ -254,8 +254,8 @@
 func TestUnfitRequestFailsWithoutBlamingMember(t *testing.T) {
 	h, c := newHarness(t, 9), &fakeResponder{}
 	h.submit(c)
-	h.conns[0].listener.Up()
-	h.conns[0].listener.Reply(Reply{Result: logic.Failed, Unfit: true})
+	h.conns[0].handler.Connected()
+	h.conns[0].handler.Reply(Reply{Result: logic.Failed, StatementError: true})
 	c.want(t, "failed")
 	h.want("request", outcome(logic.Cancelled, true))
 }
@@ -265,8 +265,8 @@
 func TestGoneMembersAreRemoved(t *testing.T) {
 	h := newHarness(t, 9)
 	id := h.submit(&fakeResponder{})
-	h.conns[0].listener.Up()
-	h.dispatcher.Listed(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:1", State: logic.Gone},
+	h.conns[0].handler.Connected()
+	h.dispatcher.ApplyList(List{Kind: logic.ListDelta, Entries: []ListEntry{{Name: "one", Address: "a:1", State: logic.Gone},
 		{Name: "two", Address: "a:2", State: logic.Gone}}})
 	if len(h.dispatcher.membersByID) != 1 || len(h.dispatcher.membersByName) != 1 {
 		t.Errorf("%d members, %d names; want one, which has an open attempt",
@@ -285,12 +285,12 @@
 	h := newHarness(t, 1)
 	for range 9 {
 		h.submit(&fakeResponder{})
-		h.conns[len(h.conns)-1].listener.Down()
+		h.conns[len(h.conns)-1].handler.Disconnected()
 	}
 	if len(h.conns) != 9 || h.dispatcher.connections != 0 {
 		t.Errorf("%d connections opened, %d counted", len(h.conns), h.dispatcher.connections)
 	}
-	h.givenUp = 1
+	h.abandonedDials = 1
 	if h.submit(&fakeResponder{}); len(h.conns) != 9 {
 		t.Errorf("a connection was opened beyond the limit")
 	}
@@ -301,14 +301,14 @@
 func TestConnectionLimitIsNotReportedAsMemberFailure(t *testing.T) {
 	h := newHarness(t, 1)
 	h.submit(&fakeResponder{})
-	h.conns[0].listener.Up() // busy, so it can't be closed to make room
+	h.conns[0].handler.Connected() // busy, so it can't be closed to make room
 	h.received = nil
 	h.submit(&fakeResponder{})
 	h.dispatcher.Probe(h.id("two"))
 	h.want("request", outcome(logic.NotSent, false), fmt.Sprintf("probe result %d", logic.NotSent))
-	if h.dispatcher.Counters.NoRoom != 2 || h.dispatcher.membersByName["two"].unresponsive {
+	if h.dispatcher.Counters.ConnectionLimitReached != 2 || h.dispatcher.membersByName["two"].unresponsive {
 		t.Errorf("connection limit reached %d times; member unresponsive: %v",
-			h.dispatcher.Counters.NoRoom, h.dispatcher.membersByName["two"].unresponsive)
+			h.dispatcher.Counters.ConnectionLimitReached, h.dispatcher.membersByName["two"].unresponsive)
 	}
 }
 
@@ -325,7 +325,7 @@
 func TestRouterIsNotCalledReentrantly(t *testing.T) {
 	h, c := newHarness(t, 0), &fakeResponder{} // the limit allows no connection
 	h.onRequest = func() { h.dispatcher.Send(1, h.id("one"), time.Second, 0); h.dispatcher.Probe(h.id("one")) }
-	if _, err := h.dispatcher.Take(Request{Class: "any", Wait: time.Second, Command: fakeCommand{}, Caller: c}); err != nil {
+	if _, err := h.dispatcher.Submit(Request{Class: "any", Timeout: time.Second, Command: fakeCommand{}, Responder: c}); err != nil {
 		t.Fatal(err)
 	}
 	h.want("request", outcome(logic.NotSent, false), fmt.Sprintf("probe result %d", logic.NotSent))
@@ -336,12 +336,12 @@
 func TestAbandonedRequestGetsNoAnswer(t *testing.T) {
 	h, c := newHarness(t, 9), &fakeResponder{}
 	id := h.submit(c)
-	h.conns[0].listener.Up()
+	h.conns[0].handler.Connected()
 	h.dispatcher.Abandon(id)
-	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	h.conns[0].handler.Reply(Reply{Result: logic.OK})
 	c.want(t)
-	if h.want("request", "abandoned", outcome(logic.OK, true)); h.dispatcher.Pending() != 0 {
-		t.Errorf("%d requests pending", h.dispatcher.Pending())
+	if h.want("request", "abandoned", outcome(logic.OK, true)); h.dispatcher.OpenRequests() != 0 {
+		t.Errorf("%d open requests", h.dispatcher.OpenRequests())
 	}
 }
 
@@ -351,10 +351,10 @@
 	for name, interrupt := range map[string]func(h *harness, id logic.RequestID){
 		"abandoned": func(h *harness, id logic.RequestID) { h.dispatcher.Abandon(id) },
 		"draining": func(h *harness, _ logic.RequestID) {
-			h.dispatcher.Listed(List{Entries: []Entry{{Name: "one", Address: "a:1", State: logic.Draining}}})
+			h.dispatcher.ApplyList(List{Entries: []ListEntry{{Name: "one", Address: "a:1", State: logic.Draining}}})
 		},
 		"gone": func(h *harness, _ logic.RequestID) {
-			h.dispatcher.Listed(List{Entries: []Entry{{Name: "one", Address: "a:1", State: logic.Gone}}})
+			h.dispatcher.ApplyList(List{Entries: []ListEntry{{Name: "one", Address: "a:1", State: logic.Gone}}})
 		},
 	} {
 		h := newHarness(t, 9)
@@ -365,15 +365,15 @@
 		if h.lastOutcome.Result != logic.NotSent {
 			t.Errorf("%s: the attempt ended with result %d, want NotSent", name, h.lastOutcome.Result)
 		}
-		h.conns[0].listener.Up()
+		h.conns[0].handler.Connected()
 		if h.conns[0].sent != 0 || !h.conns[0].closed {
 			t.Errorf("%s: sent %d times, connection closed: %v", name, h.conns[0].sent, h.conns[0].closed)
 		}
 	}
 	h := newHarness(t, 9)
 	id := h.submit(&fakeResponder{})
-	h.conns[0].listener.Up()
-	h.dispatcher.Listed(List{Entries: []Entry{{Name: "one", Address: "a:1", State: logic.Draining}}})
+	h.conns[0].handler.Connected()
+	h.dispatcher.ApplyList(List{Entries: []ListEntry{{Name: "one", Address: "a:1", State: logic.Draining}}})
 	h.dispatcher.Abandon(id)
 	if h.conns[0].closed {
 		t.Error("the connection of an attempt that was sent is closed")
@@ -385,11 +385,11 @@
 func TestAttemptIsNotSentAfterSendBy(t *testing.T) {
 	for late, sent := range map[time.Duration]int{0: 1, time.Millisecond: 0} {
 		h := newHarness(t, 9)
-		id, _ := h.dispatcher.Take(Request{Class: "any", Wait: time.Second, Command: fakeCommand{}, Caller: &fakeResponder{}})
+		id, _ := h.dispatcher.Submit(Request{Class: "any", Timeout: time.Second, Command: fakeCommand{}, Responder: &fakeResponder{}})
 		h.dispatcher.Send(id, h.id("one"), 500*time.Millisecond, h.now+100*time.Millisecond)
 		h.received = nil
 		h.advance(100*time.Millisecond + late)
-		h.conns[0].listener.Up()
+		h.conns[0].handler.Connected()
 		if h.conns[0].sent != sent || h.conns[0].closed {
 			t.Errorf("%v after sendBy: sent %d times, connection closed: %v", late, h.conns[0].sent, h.conns[0].closed)
 		}
@@ -407,8 +407,8 @@
 func TestIdleConnectionsAreClosedBeforeDatabaseClosesThem(t *testing.T) {
 	h := newHarness(t, 9)
 	h.submit(&fakeResponder{})
-	h.conns[0].listener.Up()
-	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	h.conns[0].handler.Connected()
+	h.conns[0].handler.Reply(Reply{Result: logic.OK})
 	if h.advance(8 * time.Second); h.conns[0].closed {
 		t.Error("closed early")
 	}
@@ -416,9 +416,9 @@
 		t.Error("not closed before the database closes it")
 	}
 	h.submit(&fakeResponder{})
-	h.conns[1].listener.Up()
-	h.conns[1].listener.Reply(Reply{Result: logic.OK})
-	h.conns[1].listener.Down()
+	h.conns[1].handler.Connected()
+	h.conns[1].handler.Reply(Reply{Result: logic.OK})
+	h.conns[1].handler.Disconnected()
 	if h.submit(&fakeResponder{}); len(h.conns) != 3 {
 		t.Error("a closed connection was used again")
 	}
@@ -427,13 +427,13 @@
 func TestReleasedConnectionServesWaitingAttempt(t *testing.T) {
 	h := newHarness(t, 9)
 	h.submit(&fakeResponder{})
-	h.conns[0].listener.Up()
+	h.conns[0].handler.Connected()
 	h.submit(&fakeResponder{})
-	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	h.conns[0].handler.Reply(Reply{Result: logic.OK})
 	if h.conns[0].sent != 2 || h.conns[1].sent != 0 {
 		t.Errorf("%d and %d requests sent", h.conns[0].sent, h.conns[1].sent)
 	}
-	h.conns[1].listener.Up() // becomes idle
+	h.conns[1].handler.Connected() // becomes idle
 	if h.submit(&fakeResponder{}); len(h.conns) != 2 || h.conns[1].sent != 1 {
 		t.Errorf("%d connections, %d requests on the second", len(h.conns), h.conns[1].sent)
 	}
@@ -442,8 +442,8 @@
 func TestIdleConnectionIsClosedAtConnectionLimit(t *testing.T) {
 	h := newHarness(t, 1)
 	h.submit(&fakeResponder{})
-	h.conns[0].listener.Up()
-	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	h.conns[0].handler.Connected()
+	h.conns[0].handler.Reply(Reply{Result: logic.OK})
 	h.dispatcher.Probe(h.id("two"))
 	if !h.conns[0].closed || len(h.conns) != 2 {
 		t.Errorf("%d connections, the idle one closed: %v", len(h.conns), h.conns[0].closed)
@@ -455,10 +455,10 @@
 	h := newHarness(t, 9)
 	h.dispatcher.Probe(h.id("one"))
 	h.advance(100 * time.Millisecond)
-	h.conns[0].listener.Up()
+	h.conns[0].handler.Connected()
 	h.advance(2 * time.Millisecond)
-	h.conns[0].listener.Reply(Reply{Result: logic.OK,
-		Load: Load{Told: true, Role: logic.RolePrimary, Position: 1767312000.05, Queue: -1}})
+	h.conns[0].handler.Reply(Reply{Result: logic.OK,
+		LoadReport: LoadReport{Present: true, Role: logic.RolePrimary, Position: 1767312000.05, Queue: -1}})
 	if p := h.lastProbe; p.Took != 2*time.Millisecond || p.Report.Role != logic.RolePrimary || len(h.conns) != 1 {
 		t.Errorf("%+v", p)
 	}
@@ -481,20 +481,20 @@
 func TestProbeIsRepeatedAfterReusedConnectionIsLost(t *testing.T) {
 	h := newHarness(t, 9)
 	h.dispatcher.Probe(h.id("one"))
-	h.conns[0].listener.Up()
-	h.conns[0].listener.Reply(Reply{Result: logic.OK})
+	h.conns[0].handler.Connected()
+	h.conns[0].handler.Reply(Reply{Result: logic.OK})
 	h.received = nil
 	h.dispatcher.Probe(h.id("one"))
-	h.conns[0].listener.Down()
+	h.conns[0].handler.Disconnected()
 	if h.want(); len(h.conns) != 2 || !h.conns[0].closed || h.dispatcher.membersByName["one"].unresponsive {
 		t.Fatalf("%d connections, the first closed: %v, member unresponsive: %v", len(h.conns), h.conns[0].closed,
 			h.dispatcher.membersByName["one"].unresponsive)
 	}
-	h.conns[1].listener.Up()
+	h.conns[1].handler.Connected()
 	if h.conns[1].probes != 1 {
 		t.Errorf("%d probes on the new connection", h.conns[1].probes)
 	}
-	h.conns[1].listener.Down()
+	h.conns[1].handler.Disconnected()
 	h.want(fmt.Sprintf("probe result %d", logic.Reset))
 }
 
@@ -502,11 +502,11 @@
 func TestReturningMemberKeepsItsID(t *testing.T) {
 	h := newHarness(t, 9)
 	before := h.id("two")
-	h.dispatcher.Listed(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "two", Address: "a:2", State: logic.Gone}}})
+	h.dispatcher.ApplyList(List{Kind: logic.ListDelta, Entries: []ListEntry{{Name: "two", Address: "a:2", State: logic.Gone}}})
 	if h.dispatcher.membersByName["two"] != nil {
 		t.Error("a member that is gone was not removed")
 	}
-	h.dispatcher.Listed(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "two", Address: "a:2", State: logic.Ready}}})
+	h.dispatcher.ApplyList(List{Kind: logic.ListDelta, Entries: []ListEntry{{Name: "two", Address: "a:2", State: logic.Ready}}})
 	if after := h.id("two"); after != before {
 		t.Errorf("id %v, was %v", after, before)
 	}
@@ -519,10 +519,10 @@
 		t.Fatalf("%+v", h.lastList)
 	}
 	h.submit(&fakeResponder{})
-	h.conns[0].listener.Up()
-	h.conns[0].listener.Reply(Reply{Result: logic.OK})
-	h.dispatcher.Listed(List{Kind: logic.ListDelta, Entries: []Entry{{Name: "one", Address: "a:9", State: logic.Ready,
-		Started: h.Unix() - time.Second}}})
+	h.conns[0].handler.Connected()
+	h.conns[0].handler.Reply(Reply{Result: logic.OK})
+	h.dispatcher.ApplyList(List{Kind: logic.ListDelta, Entries: []ListEntry{{Name: "one", Address: "a:9", State: logic.Ready,
+		StartedUnix: h.Unix() - time.Second}}})
 	if e := h.lastList.Entries; len(e) != 1 || e[0].ID != h.id("one") || e[0].StartedAt != h.now-time.Second {
 		t.Errorf("%+v", h.lastList)
 	}
@@ -532,7 +532,7 @@
 	if h.submit(&fakeResponder{}); h.conns[len(h.conns)-1].address != "a:9" {
 		t.Error("a connection was opened to the old address")
 	}
-	h.dispatcher.Listed(List{Kind: logic.ListFull, Entries: []Entry{{Name: "one", Address: "a:9", State: logic.Draining}}})
+	h.dispatcher.ApplyList(List{Kind: logic.ListFull, Entries: []ListEntry{{Name: "one", Address: "a:9", State: logic.Draining}}})
 	if h.dispatcher.membersByName["two"] != nil || h.lastList.Kind != logic.ListFull {
 		t.Error("a member that a whole list leaves out was not removed")
 	}
@@ -543,20 +543,20 @@
 func TestTokenAge(t *testing.T) {
 	h := newHarness(t, 9)
 	for after, want := range map[time.Duration]time.Duration{0: 0, -time.Second: time.Second, time.Millisecond: 1} {
-		in := Request{Class: "session", Wait: time.Second, Session: 7, Command: fakeCommand{}, Caller: &fakeResponder{}}
+		in := Request{Class: "session", Timeout: time.Second, Session: 7, Command: fakeCommand{}, Responder: &fakeResponder{}}
 		if after != 0 {
-			in.After = int64((h.Unix() + after) / time.Millisecond)
+			in.TokenMillis = int64((h.Unix() + after) / time.Millisecond)
 		}
-		if h.dispatcher.Take(in); h.lastRequest.TokenAge != want || h.lastRequest.Session != 7 {
+		if h.dispatcher.Submit(in); h.lastRequest.TokenAge != want || h.lastRequest.Session != 7 {
 			t.Errorf("commit at now%+v: age %v, want %v", after, h.lastRequest.TokenAge, want)
 		}
 	}
-	h.dispatcher.Take(Request{Class: "any", Wait: time.Second, Session: 7, After: 1, Command: fakeCommand{},
-		Caller: &fakeResponder{}})
+	h.dispatcher.Submit(Request{Class: "any", Timeout: time.Second, Session: 7, TokenMillis: 1, Command: fakeCommand{},
+		Responder: &fakeResponder{}})
 	if h.lastRequest.Session != 0 || h.lastRequest.TokenAge != 0 || h.lastRequest.Deadline >= h.now+time.Second {
 		t.Errorf("%+v: session or token passed on for a class without sessions, or wrong deadline", h.lastRequest)
 	}
-	if _, err := h.dispatcher.Take(Request{Class: "unheard"}); err == nil || h.dispatcher.Pending() != 4 {
+	if _, err := h.dispatcher.Submit(Request{Class: "unheard"}); err == nil || h.dispatcher.OpenRequests() != 4 {
 		t.Error("a request of an unknown class was accepted")
 	}
 }
@@ -564,10 +564,10 @@
 // A proxy that shuts down must answer new requests before it ends, also for clients that would wait longer.
 func TestDeadlinesOfNewRequestsEndAtShutdown(t *testing.T) {
 	h := newHarness(t, 9)
-	h.dispatcher.End(h.now + 100*time.Millisecond)
+	h.dispatcher.ShutDownAt(h.now + 100*time.Millisecond)
 	for wait, want := range map[time.Duration]time.Duration{50 * time.Millisecond: 45 * time.Millisecond,
 		time.Second: 100 * time.Millisecond} {
-		h.dispatcher.Take(Request{Class: "any", Wait: wait, Command: fakeCommand{}, Caller: &fakeResponder{}})
+		h.dispatcher.Submit(Request{Class: "any", Timeout: wait, Command: fakeCommand{}, Responder: &fakeResponder{}})
 		if got := h.lastRequest.Deadline - h.now; got != want {
 			t.Errorf("request of a client that waits %v: deadline in %v, want %v", wait, got, want)
 		}
@@ -580,8 +580,8 @@
 	h := newHarness(t, 9)
 	c := &fakeResponder{}
 	id := h.submit(c)
-	h.conns[0].listener.Up()
-	h.dispatcher.End(h.now + 100*time.Millisecond)
+	h.conns[0].handler.Connected()
+	h.dispatcher.ShutDownAt(h.now + 100*time.Millisecond)
 	h.received = nil
 	h.advance(99 * time.Millisecond)
 	h.want()
@@ -591,8 +591,8 @@
 	h.want(outcome(logic.NotSent, false))
 	h.dispatcher.Fail(id)
 	c.want(t, "failed")
-	if len(h.conns) != 1 || h.dispatcher.Pending() != 0 {
-		t.Errorf("%d connections were opened, %d requests are pending", len(h.conns), h.dispatcher.Pending())
+	if len(h.conns) != 1 || h.dispatcher.OpenRequests() != 0 {
+		t.Errorf("%d connections were opened, %d requests are open", len(h.conns), h.dispatcher.OpenRequests())
 	}
 }
 
@@ -605,7 +605,7 @@
 	}
 	q.Set(&d[0], 1, func() { ran = append(ran, 0); q.Set(&d[0], 1, func() { ran = append(ran, 9) }) })
 	q.Clear(&d[3])
-	q.Run(8)
+	q.RunDue(8)
 	if at, ok := q.Next(); fmt.Sprint(ran) != "[0 9 4 2]" || !ok || at != 9 {
 		t.Errorf("ran %v, next %v", ran, at)
 	}
@@ -628,16 +628,16 @@
 func (h *harness) probeOnNewConnection(name string) {
 	h.dispatcher.Probe(h.id(name))
 	c := h.conns[len(h.conns)-1]
-	c.listener.Up()
-	c.listener.Reply(Reply{Result: logic.OK})
+	c.handler.Connected()
+	c.handler.Reply(Reply{Result: logic.OK})
 }
 
 func TestIdleProbeConnectionIsClosedForRequest(t *testing.T) {
 	h := newHarness(t, 1)
 	h.probeOnNewConnection("two")
 	h.submit(&fakeResponder{})
-	if h.dispatcher.Counters.NoRoom != 0 || len(h.conns) != 2 || !h.conns[0].closed {
-		t.Errorf("connection limit reached %d times, %d connections opened", h.dispatcher.Counters.NoRoom, len(h.conns))
+	if h.dispatcher.Counters.ConnectionLimitReached != 0 || len(h.conns) != 2 || !h.conns[0].closed {
+		t.Errorf("connection limit reached %d times, %d connections opened", h.dispatcher.Counters.ConnectionLimitReached, len(h.conns))
 	}
 }
 
--- a/internal/state/members.go
+++ b/internal/state/members.go
@@ -13,18 +13,18 @@
 // List is a member list, or a change of it, from the discovery service.
 type List struct {
 	Kind    logic.ListKind
-	Entries []Entry
+	Entries []ListEntry
 }
 
-// Entry describes one database of a List.
-type Entry struct {
-	Name    string // the same for every proxy
-	Address string
-	Zone    string
-	Group   int
-	State   logic.MemberState
-	Weight  float64
-	Started time.Duration // Unix time of the process start; 0 = long ago
+// ListEntry describes one database of a List.
+type ListEntry struct {
+	Name        string // the same for every proxy
+	Address     string
+	Zone        string
+	Group       int
+	State       logic.MemberState
+	Weight      float64
+	StartedUnix time.Duration // Unix time of the process start; 0 = long ago
 }
 
 // member is a database with the connections to it.
@@ -66,71 +66,71 @@
 var listKindNames = [...]string{logic.ListDelta: "changes", logic.ListFull: "whole", logic.ListCached: "cached",
 	logic.ListFailed: "failed"}
 
-// Listed applies a list from the discovery service and passes it to the router.
-func (f *Front) Listed(l List) {
-	begin := f.clock.Now()
-	f.changes = listChanges{}
-	defer func() { f.changes.log(l, f.clock.Now()-begin) }()
+// ApplyList applies a list from the discovery service and passes it to the router.
+func (d *Dispatcher) ApplyList(l List) {
+	begin := d.clock.Now()
+	d.changes = listChanges{}
+	defer func() { d.changes.log(l, d.clock.Now()-begin) }()
 	out := logic.List{Kind: l.Kind}
 	whole := l.Kind != logic.ListDelta
 	if whole {
-		for _, m := range f.membersByName {
+		for _, m := range d.membersByName {
 			m.listed = false
 		}
 	}
 	for _, e := range l.Entries {
-		m := f.member(e)
+		m := d.member(e)
 		m.listed = true
-		out.Entries = append(out.Entries, logic.Member{ID: m.id, Zone: f.zoneIndex(e.Zone), Group: logic.GroupID(e.Group),
-			State: e.State, Weight: e.Weight, StartedAt: fromUnix(f.clock, e.Started)})
+		out.Entries = append(out.Entries, logic.Member{ID: m.id, Zone: d.zoneIndex(e.Zone), Group: logic.GroupID(e.Group),
+			State: e.State, Weight: e.Weight, StartedAt: fromUnix(d.clock, e.StartedUnix)})
 	}
 	if whole {
-		for _, m := range f.membersByName {
+		for _, m := range d.membersByName {
 			if !m.listed {
-				f.setState(m, logic.Gone)
+				d.setState(m, logic.Gone)
 			}
 		}
 	}
-	if f.discoveryFailing && l.Kind != logic.ListCached {
-		f.discoveryFailing = false
-		slog.Info("discovery calls succeed again")
+	if d.discoveryFailing && l.Kind != logic.ListCached {
+		d.discoveryFailing = false
+		slog.Info("discovery available again")
 	}
-	f.notifyRouter(func() { f.router.MemberList(f.clock.Now(), out) })
-	f.cancelUnsentAttempts(f.changes.notReady)
+	d.notifyRouter(func() { d.router.MemberList(d.clock.Now(), out) })
+	d.cancelUnsentAttempts(d.changes.notReady)
 }
 
 // ListFailed reports that a call to the discovery service failed or that a watch broke. The current list stays valid.
-func (f *Front) ListFailed(err error) {
-	f.Counters.ListFailures++
-	if !f.discoveryFailing {
-		f.discoveryFailing = true
-		slog.Warn("discovery call failed", "error", err)
+func (d *Dispatcher) ListFailed(err error) {
+	d.Counters.ListFailures++
+	if !d.discoveryFailing {
+		d.discoveryFailing = true
+		slog.Warn("discovery unavailable", "error", err)
 	}
-	f.notifyRouter(func() { f.router.MemberList(f.clock.Now(), logic.List{Kind: logic.ListFailed}) })
+	d.notifyRouter(func() { d.router.MemberList(d.clock.Now(), logic.List{Kind: logic.ListFailed}) })
 }
 
 // member returns the member of an entry, creating it if needed, after updating its address and state.
-func (f *Front) member(e Entry) *member {
-	m := f.membersByName[e.Name]
+func (d *Dispatcher) member(e ListEntry) *member {
+	m := d.membersByName[e.Name]
 	if m == nil {
-		m = &member{id: f.newMemberID(e.Name), name: e.Name, state: e.State, connections: map[*connection]struct{}{}}
-		f.membersByName[e.Name], f.membersByID[m.id] = m, m
-		f.changes.joined++
+		m = &member{id: d.newMemberID(e.Name), name: e.Name, state: e.State, connections: map[*connection]struct{}{}}
+		d.membersByName[e.Name], d.membersByID[m.id] = m, m
+		d.changes.joined++
 	}
 	if m.address != e.Address && e.Address != "" {
 		m.address = e.Address
-		f.closeIdleConnections(m) // they lead to the old address
+		d.closeIdleConnections(m) // they lead to the old address
 	}
-	f.setState(m, e.State)
+	d.setState(m, e.State)
 	return m
 }
 
 // newMemberID derives an id from a name, so that a member that was removed gets the same id when it is listed again.
-func (f *Front) newMemberID(name string) logic.MemberID {
+func (d *Dispatcher) newMemberID(name string) logic.MemberID {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	id := logic.MemberID(h.Sum64())
-	for f.membersByID[id] != nil {
+	for d.membersByID[id] != nil {
 		id++
 	}
 	return id
@@ -138,34 +138,34 @@
 
 // setState sets the state of a member and logs a change. It closes the idle connections of a member that is not
 // ready.
-func (f *Front) setState(m *member, to logic.MemberState) {
+func (d *Dispatcher) setState(m *member, to logic.MemberState) {
 	if m.state != to {
-		if f.changes.changed++; f.changes.changed <= maxChangeLines {
+		if d.changes.changed++; d.changes.changed <= maxChangeLines {
 			slog.Info("database state changed", "name", m.name, "address", m.address, "from", stateName(m.state), "to", stateName(to))
 		}
 	}
 	if to != logic.Ready {
 		if m.state != to {
-			f.changes.notReady = append(f.changes.notReady, m)
+			d.changes.notReady = append(d.changes.notReady, m)
 		}
-		f.closeIdleConnections(m)
+		d.closeIdleConnections(m)
 	}
 	m.state = to
-	f.removeIfGone(m)
+	d.removeIfGone(m)
 }
 
 // cancelUnsentAttempts ends the attempts that wait for a connection to members that are no longer ready: a connection
 // that is established later would carry them to a draining member after its grace period. It must be called after the
 // router has received the list, so that the router sends the requests to other members.
-func (f *Front) cancelUnsentAttempts(members []*member) {
+func (d *Dispatcher) cancelUnsentAttempts(members []*member) {
 	slices.SortFunc(members, func(a, b *member) int { return strings.Compare(a.name, b.name) })
 	for _, m := range members {
-		if m.state == logic.Ready || m.state == logic.Gone && f.cfg.Logic.IgnoreListedGone {
+		if m.state == logic.Ready || m.state == logic.Gone && d.cfg.Logic.IgnoreListedGone {
 			continue
 		}
 		for _, c := range slices.Clone(m.opening) {
 			if c.attempt != nil {
-				f.cancelUnsentAttempt(c.attempt)
+				d.cancelUnsentAttempt(c.attempt)
 			}
 		}
 	}
@@ -174,11 +174,11 @@
 // removeIfGone removes a member that is gone and has no connections: databases come and go under new names all day,
 // and would fill the memory. If the deployment sets IgnoreListedGone, "gone" doesn't bind the router, which may still
 // send to the member until a whole list leaves it out.
-func (f *Front) removeIfGone(m *member) {
-	if m.state == logic.Gone && (!m.listed || !f.cfg.Logic.IgnoreListedGone) && len(m.connections) == 0 &&
-		f.membersByName[m.name] == m {
-		delete(f.membersByName, m.name)
-		delete(f.membersByID, m.id)
+func (d *Dispatcher) removeIfGone(m *member) {
+	if m.state == logic.Gone && (!m.listed || !d.cfg.Logic.IgnoreListedGone) && len(m.connections) == 0 &&
+		d.membersByName[m.name] == m {
+		delete(d.membersByName, m.name)
+		delete(d.membersByID, m.id)
 	}
 }
 
@@ -187,7 +187,7 @@
 func (m *member) recordReply(r Reply, probe bool) {
 	role := r.Role
 	if role == logic.RoleUnknown {
-		role = r.Load.Role
+		role = r.LoadReport.Role
 	}
 	if role != logic.RoleUnknown && role != m.role {
 		if m.role != logic.RoleUnknown {
@@ -221,8 +221,8 @@
 }
 
 // zoneIndex returns the number of a zone, or -1 for an unknown zone, which equals no proxy's own zone.
-func (f *Front) zoneIndex(name string) int {
-	for i, z := range f.cfg.Zones {
+func (d *Dispatcher) zoneIndex(name string) int {
+	for i, z := range d.cfg.Zones {
 		if z == name {
 			return i
 		}
@@ -231,8 +231,8 @@
 }
 
 // closeIdleConnections closes all idle connections to a member.
-func (f *Front) closeIdleConnections(m *member) {
+func (d *Dispatcher) closeIdleConnections(m *member) {
 	for len(m.idleConnections) > 0 {
-		f.closeConnection(m.idleConnections[len(m.idleConnections)-1])
+		d.closeConnection(m.idleConnections[len(m.idleConnections)-1])
 	}
 }
--- a/internal/state/requestlog.go
+++ b/internal/state/requestlog.go
@@ -37,21 +37,21 @@
 
 // recordRequestEnd counts a request that ended late, and logs one that ended late or for a reason. The reason is
 // empty for a request that was served or abandoned.
-func (f *Front) recordRequestEnd(q *request, ending, reason string) {
-	now := f.clock.Now()
+func (d *Dispatcher) recordRequestEnd(q *request, ending, reason string) {
+	now := d.clock.Now()
 	late := now - q.answerDeadline
 	if late > lateTolerance {
-		f.Counters.Late++
+		d.Counters.Late++
 	} else if reason == "" {
 		return
 	}
-	if !f.requestLog.allow(now) {
+	if !d.requestLog.allow(now) {
 		return
 	}
-	slog.Info("request ended", "id", q.name, "class", f.cfg.Logic.Classes[q.class].Name, "group", q.group,
+	slog.Info("request ended", "id", q.clientRequestID, "class", d.cfg.Logic.Classes[q.class].Name, "group", q.group,
 		"ending", ending, "reason", reason, "attempts", q.attempts, "after", now-q.receivedAt, "late", max(late, 0),
-		"suppressed", f.requestLog.suppressed)
-	f.requestLog.suppressed = 0
+		"suppressed", d.requestLog.suppressed)
+	d.requestLog.suppressed = 0
 }
 
 // refusalNames holds the names of refusal reasons in the log, indexed by logic.Refusal.
--- a/internal/wire/pg/pg_test.go
+++ b/internal/wire/pg/pg_test.go
@@ -137,7 +137,7 @@
 			return n, err
 		})
 		ParseStatement(string(garbage))
-		ParseReport(string(garbage))
+		ParseLoadReport(string(garbage))
 	})
 	for name, in := range map[string][]byte{"negative length": {'Q', 0xff, 0, 0, 0}, "too long": {'Q', 0, 0x10, 0, 0},
 		"too short": {'Q', 0, 0, 0, 3}} {
@@ -160,7 +160,7 @@
 
 func TestParseStatement(t *testing.T) {
 	s, err := ParseStatement(readStatement)
-	if err != nil || s.Class != "basket" || s.Wait != 480*time.Millisecond || s.Group != 2 || s.After != 1767225600123 ||
+	if err != nil || s.Class != "basket" || s.Timeout != 480*time.Millisecond || s.Group != 2 || s.TokenMillis != 1767225600123 ||
 		s.Session != 0x7f3a9c21e0b4d655 || s.Retry {
 		t.Errorf("%+v, error %v", s, err)
 	}
@@ -171,11 +171,11 @@
 	}
 	write := `INSERT INTO state (uid, val) VALUES ('ab', '/* d=1 */') RETURNING val /* id=1,c=order,d=9,k=5c,cluster=2,r=1 */;`
 	if s, err = ParseStatement(write); err != nil || s.Class != "order" ||
-		s.Wait != 9*time.Millisecond || s.Session == 0 || !s.Retry {
+		s.Timeout != 9*time.Millisecond || s.Session == 0 || !s.Retry {
 		t.Errorf("%+v, error %v", s, err)
 	}
 	// A client sends d=0 when less than a millisecond is left. Rejected as malformed, the request would get no answer.
-	if s, err = ParseStatement(strings.Replace(readStatement, "d=480", "d=0", 1)); err != nil || s.Wait != 0 {
+	if s, err = ParseStatement(strings.Replace(readStatement, "d=480", "d=0", 1)); err != nil || s.Timeout != 0 {
 		t.Errorf("d=0: %+v, error %v", s, err)
 	}
 	for _, bad := range []string{"SELECT 1", "/**/", "'a' /*/", strings.Replace(readStatement, "d=480", "d=-1", 1),
@@ -191,7 +191,7 @@
 func TestSQLSTATEsOfStatementErrors(t *testing.T) {
 	for code, want := range map[string]bool{"08P01": true, "22P02": true, "42601": true, "XX000": false, "53300": false,
 		"25006": false, "72000": false, "57P03": false} {
-		if Unfit(code) != want {
+		if StatementError(code) != want {
 			t.Errorf("%s: %v", code, !want)
 		}
 	}
@@ -208,11 +208,11 @@
 
 // A position needs more than the 24 bits of a 32-bit float: the remaining digits tell how old a replica's data is.
 func TestReportKeepsFullPrecision(t *testing.T) {
-	if r := ParseReport("x0=1767225600.123,x1=1,inflight=7"); r.Position != 1767225600.123 ||
-		r.Role != RolePrimary || r.Queue >= 0 || !r.Told {
+	if r := ParseLoadReport("x0=1767225600.123,x1=1,inflight=7"); r.Position != 1767225600.123 ||
+		r.Role != RolePrimary || r.Queue >= 0 || !r.Present {
 		t.Errorf("%+v", r)
 	}
-	if r := ParseReport("no report"); r.Told {
+	if r := ParseLoadReport("no report"); r.Present {
 		t.Errorf("%+v", r)
 	}
 }
--- a/internal/wire/pg/reply.go
+++ b/internal/wire/pg/reply.go
@@ -15,11 +15,11 @@
 
 // Reply collects a database's messages in answer to one query, up to ReadyForQuery.
 type Reply struct {
-	Code     string // SQLSTATE of the error; empty if there was none
-	Body     []byte // RowDescription, DataRow and CommandComplete, unchanged
-	Role     string // RolePrimary, RoleReplica or empty
-	Position int64  // Unix milliseconds; 0 = not reported
-	Load     string // load report; see ParseReport
+	Code       string // SQLSTATE of the error; empty if there was none
+	Body       []byte // RowDescription, DataRow and CommandComplete, unchanged
+	Role       string // RolePrimary, RoleReplica or empty
+	Position   int64  // Unix milliseconds; 0 = not reported
+	LoadReport string // load report; see ParseReport
 
 	row      []byte // value of the row; a slice of Body
 	rowCount int
@@ -93,7 +93,7 @@
 		}
 		r.Position = int64(ms)
 	case "load":
-		r.Load = value
+		r.LoadReport = value
 	}
 	return nil
 }
@@ -110,9 +110,9 @@
 	return body[6:], int(n) == len(body)-6
 }
 
-// Unfit reports whether an SQLSTATE says that the statement itself is at fault: a protocol violation, bad data
+// StatementError reports whether an SQLSTATE says that the statement itself is at fault: a protocol violation, bad data
 // (class 22) or bad syntax (class 42).
-func Unfit(code string) bool {
+func StatementError(code string) bool {
 	return code == CodeProtocol || strings.HasPrefix(code, "22") || strings.HasPrefix(code, "42")
 }
 
@@ -131,26 +131,26 @@
 	return ""
 }
 
-// Report is a decoded load report.
-type Report struct {
-	Told     bool    // the text had at least one numeric field
+// LoadReport is a decoded load report.
+type LoadReport struct {
+	Present  bool    // the text had at least one numeric field
 	Position float64 // Unix seconds; 0 = not reported
 	Role     string  // as in Reply.Role
 	Queue    float64 // queued requests; negative = not reported
 }
 
-// ParseReport parses a load report of the form "x0=1767225600.123,x1=1,inflight=7": x0 is the position, x1 is 1 on
+// ParseLoadReport parses a load report of the form "x0=1767225600.123,x1=1,inflight=7": x0 is the position, x1 is 1 on
 // the primary, queue is the number of queued requests. Unknown fields are ignored. Values are parsed as 64-bit
 // floats, since a position has more digits than a 32-bit float holds.
-func ParseReport(text string) Report {
-	out := Report{Queue: -1}
+func ParseLoadReport(text string) LoadReport {
+	out := LoadReport{Queue: -1}
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil {
 			continue
 		}
-		out.Told = true
+		out.Present = true
 		switch name {
 		case "x0":
 			out.Position = v
--- a/internal/wire/pg/statement.go
+++ b/internal/wire/pg/statement.go
@@ -10,16 +10,16 @@
 
 // Statement is one request: its text and the fields of the routing comment at its end.
 type Statement struct {
-	Text    string
-	ID      string
-	Session uint64 // derived from the statement's first quoted text; never 0
-	Class   string
-	Wait    time.Duration // how long the client waits, from the time it sent the request
-	Group   int
-	After   int64 // time of the session's last commit, Unix milliseconds; 0 = none
-	Retry   bool  // the client marked the request as a repeat
+	Text        string
+	ID          string
+	Session     uint64 // derived from the statement's first quoted text; never 0
+	Class       string
+	Timeout     time.Duration // how long the client waits, from the time it sent the request
+	Group       int
+	TokenMillis int64 // time of the session's last commit, Unix milliseconds; 0 = none
+	Retry       bool  // the client marked the request as a repeat
 
-	waitStart, waitEnd int // byte range of the value of d (Wait) in Text
+	timeoutStart, timeoutEnd int // byte range of the value of d (Timeout) in Text
 }
 
 // ErrStatement is returned for a query without a valid routing comment or quoted key. Clients receive its text.
@@ -58,14 +58,14 @@
 			if ms < 0 || ms > int64(24*time.Hour/time.Millisecond) {
 				return s, ErrStatement
 			}
-			s.Wait = time.Duration(ms) * time.Millisecond
-			s.waitStart = start + strings.Index(text[start:end], value)
-			s.waitEnd = s.waitStart + len(value)
+			s.Timeout = time.Duration(ms) * time.Millisecond
+			s.timeoutStart = start + strings.Index(text[start:end], value)
+			s.timeoutEnd = s.timeoutStart + len(value)
 		case "cluster":
 			s.Group, err = strconv.Atoi(value)
 			hasGroup = true
 		case "after":
-			s.After, err = strconv.ParseInt(value, 10, 64)
+			s.TokenMillis, err = strconv.ParseInt(value, 10, 64)
 		case "r":
 			s.Retry = value == "1"
 		}
@@ -74,7 +74,7 @@
 		}
 		start = end + 1
 	}
-	if s.ID == "" || s.Class == "" || s.waitEnd == 0 || !hasGroup {
+	if s.ID == "" || s.Class == "" || s.timeoutEnd == 0 || !hasGroup {
 		return s, ErrStatement
 	}
 	return s, nil
@@ -104,9 +104,9 @@
 // AppendTo appends the statement as a Query message for a database that has the given time to answer. Only the value
 // of d is replaced. It is rounded down to milliseconds (but is at least 1), so that the database doesn't work on a
 // request whose client has stopped waiting.
-func (s *Statement) AppendTo(dst []byte, wait time.Duration) []byte {
+func (s *Statement) AppendTo(dst []byte, timeout time.Duration) []byte {
 	dst, at := beginMessage(dst, TypeQuery)
-	dst = append(dst, s.Text[:s.waitStart]...)
-	dst = strconv.AppendInt(dst, max(int64(wait/time.Millisecond), 1), 10)
-	return endMessage(appendCString(dst, s.Text[s.waitEnd:]), at)
+	dst = append(dst, s.Text[:s.timeoutStart]...)
+	dst = strconv.AppendInt(dst, max(int64(timeout/time.Millisecond), 1), 10)
+	return endMessage(appendCString(dst, s.Text[s.timeoutEnd:]), at)
 }
--- a/internal/wire/settings/settings.go
+++ b/internal/wire/settings/settings.go
@@ -37,14 +37,14 @@
 		SessionMarks string    `json:"session_marks"`
 	} `json:"domain"`
 	Limits struct {
-		ConnectTime      float64 `json:"connect_timeout"`
-		IdleClose        float64 `json:"idle_close"`
-		MaxAttempts      int     `json:"max_attempts"`
-		MaxRetryAfter    float64 `json:"max_retry_after"`
-		MayCancel        bool    `json:"may_cancel"`
-		ParallelAttempts bool    `json:"parallel_tries"`
-		Probes           bool    `json:"probes"`
-		RetryAfter       bool    `json:"retry_after"`
+		ConnectTime         float64 `json:"connect_timeout"`
+		DatabaseIdleTimeout float64 `json:"idle_close"`
+		MaxAttempts         int     `json:"max_attempts"`
+		MaxRetryAfter       float64 `json:"max_retry_after"`
+		MayCancel           bool    `json:"may_cancel"`
+		ParallelAttempts    bool    `json:"parallel_tries"`
+		Probes              bool    `json:"probes"`
+		RetryAfter          bool    `json:"retry_after"`
 	} `json:"limits"`
 	OverQuotaWorth float64 `json:"over_share_worth"`
 	Reporting      struct {
@@ -73,9 +73,9 @@
 	Origin time.Duration // the time that positions are relative to
 	Fields []string      // names of the values in a load report, in order
 
-	Zones          []string
-	IdleClose      time.Duration // idle connections to databases are closed after this time
-	ConnectTimeout time.Duration
+	Zones               []string
+	DatabaseIdleTimeout time.Duration // the databases close connections that have been idle for so long; 0 = never
+	ConnectTimeout      time.Duration
 }
 
 // parseEnum returns the value that known has for a setting's text. An absent setting gives the zero value.
@@ -137,7 +137,7 @@
 		cfg.Tenants = append(cfg.Tenants, logic.Tenant{Name: t.Name, Quota: t.Quota})
 	}
 	return Settings{Config: cfg, Origin: micros(domain.Origin), Fields: raw.Reporting.Fields,
-		Zones: raw.Zones, IdleClose: micros(limits.IdleClose), ConnectTimeout: micros(limits.ConnectTime)}, nil
+		Zones: raw.Zones, DatabaseIdleTimeout: micros(limits.DatabaseIdleTimeout), ConnectTimeout: micros(limits.ConnectTime)}, nil
 }
 
 // parseClass converts a request class. Its freshness comes from another list of the settings, domain.freshness.
--- a/internal/wire/settings/settings_test.go
+++ b/internal/wire/settings/settings_test.go
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	if c, err := ParseConfig(text); err != nil || len(c.Known.Instances) != 1 || len(c.Settings.Config.Classes) != 5 ||
-		c.Settings.IdleClose != 30*time.Second || c.Settings.ConnectTimeout != 250*time.Millisecond {
+		c.Settings.DatabaseIdleTimeout != 30*time.Second || c.Settings.ConnectTimeout != 250*time.Millisecond {
 		t.Errorf("%+v, error %v", c, err)
 	}
 }
