--- a/internal/net/client.go
+++ b/internal/net/client.go
@@ -15,14 +15,14 @@
 
 const (
 	// queryTimeout is how long a client may take to send its first complete query, and the rest of a query that it has
-	// begun. A client that sends nothing or stops midway occupies a descriptor for nothing; it must get an error or be
+	// begun. A client that sends nothing or stops midway occupies a descriptor to no use; it must get an error or be
 	// closed within three seconds.
-	queryTimeout     = 2200 * time.Millisecond
-	maxBufferedBytes = 2 * pg.MaxMessage // per client; queries that wait while its pipeline is full
+	queryTimeout           = 2200 * time.Millisecond
+	maxClientBufferedBytes = 2 * pg.MaxMessage // of one client: queries that wait while its pipeline is full
 	// Closing a socket that holds unread input resets the connection, which may lose the last responses. So the proxy
 	// closes its write side first and gives the client lingerTimeout, many round-trip times, to close the other.
 	lingerTimeout       = 200 * time.Millisecond
-	maxPipelinedQueries = 16 // in progress per client; hundreds at once would crowd out those of other clients
+	maxPipelinedQueries = 16 // in progress for one client; hundreds at once would crowd out those of other clients
 )
 
 var (
@@ -55,18 +55,18 @@
 	responses      []*pendingResponse
 	timer          state.Deadline
 
-	list        *list.List // the server's list of silent, idle or closing clients that holds this one, or nil
-	listElement *list.Element
-	listedSince time.Duration // when the client was added to list
+	evictionList *list.List // the server's list of silent, idle or closing clients that holds this one, or nil
+	listElement  *list.Element
+	listedSince  time.Duration // when the client was added to evictionList
 }
 
 // pendingResponse is the response to one query. Responses are sent in the order of the queries.
 type pendingResponse struct {
-	c          *client
+	client     *client
 	id         logic.RequestID
 	answer     []byte
 	done       bool
-	closeAfter bool // the connection closes after this response
+	closeAfter bool // the connection is closed after this response
 }
 
 // onReadable reads the available input and processes it.
@@ -83,7 +83,7 @@
 	defer c.updateEvictionList()
 	for used := 0; c.connState < stateClosing; {
 		n, err := c.handleMessage(c.input.bytes[used:])
-		if used += n; err == nil && n == 0 && len(c.input.bytes)-used > maxBufferedBytes {
+		if used += n; err == nil && n == 0 && len(c.input.bytes)-used > maxClientBufferedBytes {
 			err = errTooManyQueries
 		}
 		if err != nil {
@@ -95,7 +95,7 @@
 		}
 		c.input.discard(used)
 		c.updateQueryTimer(used > 0)
-		if c.accountBuffer(); c.server.bufferedBytes <= c.server.maxBufferedBytes || len(c.input.bytes) <= maxIdleCapacity {
+		if c.accountBuffer(); c.server.bufferedBytes <= c.server.maxBufferedBytes || len(c.input.bytes) <= maxIdleBufferBytes {
 			return
 		}
 		c.server.dispatcher.Counters.ClientsRejected++ // the partial query has not been accepted as a request
@@ -143,20 +143,20 @@
 	case len(c.responses) == 0 && len(c.input.bytes) == 0:
 		to = &c.server.idle
 	}
-	if to == c.list {
+	if to == c.evictionList {
 		return
 	}
 	c.leaveEvictionList()
-	if c.list = to; to != nil {
+	if c.evictionList = to; to != nil {
 		c.listedSince, c.listElement = c.server.clock.Now(), to.PushBack(c)
 	}
 }
 
 // leaveEvictionList removes the client from the eviction list that holds it, if any.
 func (c *client) leaveEvictionList() {
-	if c.list != nil {
-		c.list.Remove(c.listElement)
-		c.list = nil
+	if c.evictionList != nil {
+		c.evictionList.Remove(c.listElement)
+		c.evictionList = nil
 	}
 }
 
@@ -214,13 +214,13 @@
 	return n, nil
 }
 
-// handleQuery takes a query as a request. An error means that the query is invalid.
+// handleQuery submits a query to the dispatcher as a request. An error means that the query is invalid.
 func (c *client) handleQuery(text string) error {
 	if !c.hasQueried {
 		c.hasQueried = true
 		c.server.deadlines.Clear(&c.timer)
 	}
-	resp := &pendingResponse{c: c}
+	resp := &pendingResponse{client: c}
 	if strings.Trim(text, " \t\r\n;") == "" {
 		c.responses = append(c.responses, resp)
 		resp.complete(pg.AppendEmpty(nil))
@@ -252,7 +252,7 @@
 
 // complete records the response and sends every response that is next in order.
 func (resp *pendingResponse) complete(answer []byte) {
-	c := resp.c
+	c := resp.client
 	resp.done, resp.answer = true, answer
 	n, out := 0, []byte(nil)
 	closeAfter := false
@@ -301,7 +301,7 @@
 	}
 	c.connState = stateClosing
 	c.server.deadlines.Clear(&c.timer)
-	resp := &pendingResponse{c: c, closeAfter: true}
+	resp := &pendingResponse{client: c, closeAfter: true}
 	c.responses = append(c.responses, resp)
 	resp.complete(pg.AppendFatal(nil, code, text))
 }
--- a/internal/net/database.go
+++ b/internal/net/database.go
@@ -23,7 +23,7 @@
 )
 
 // responseTimeout is how long a response may take from its first bytes to its end; a database writes it in one go.
-// Waiting for an incomplete response until the client's time is up would leave no time for another attempt.
+// Waiting for an incomplete response until the client's timeout would leave no time for another attempt.
 const responseTimeout = 100 * time.Millisecond
 
 var (
@@ -32,8 +32,8 @@
 	errUnexpectedResponse = errors.New("unexpected response: no command was sent")
 )
 
-// Databases opens connections to databases. It implements state.Dialer.
-type Databases struct {
+// DatabaseDialer opens connections to databases. It implements state.Dialer.
+type DatabaseDialer struct {
 	Loop           *Loop
 	ConnectTimeout time.Duration
 	Counters       *state.Counters
@@ -43,24 +43,24 @@
 }
 
 // AbandonedDials implements state.Dialer.
-func (databases *Databases) AbandonedDials() int { return databases.abandonedDials }
+func (d *DatabaseDialer) AbandonedDials() int { return d.abandonedDials }
 
 // malformedLogInterval is the minimum time between log lines about malformed data from databases.
 const malformedLogInterval = 10 * time.Second
 
 // recordMalformed counts malformed data from a database and logs it, at most once per malformedLogInterval.
-func (databases *Databases) recordMalformed(address string, err error) {
-	databases.Counters.MalformedReplies++
-	if now := databases.Loop.clock.Now(); databases.malformedLoggedAt == 0 ||
-		now-databases.malformedLoggedAt >= malformedLogInterval {
-		databases.malformedLoggedAt = now
+func (d *DatabaseDialer) recordMalformed(address string, err error) {
+	d.Counters.MalformedReplies++
+	if now := d.Loop.clock.Now(); d.malformedLoggedAt == 0 ||
+		now-d.malformedLoggedAt >= malformedLogInterval {
+		d.malformedLoggedAt = now
 		slog.Warn("malformed data from a database", "address", address, "error", err)
 	}
 }
 
 // databaseConn is a connection to a database. It implements state.Conn.
 type databaseConn struct {
-	databases        *Databases
+	dialer           *DatabaseDialer
 	address          string
 	handler          state.ConnHandler
 	conn             netpoll.Connection // nil until connected
@@ -78,9 +78,9 @@
 }
 
 // Dial implements state.Dialer. Only the dial blocks, on a goroutine of its own.
-func (databases *Databases) Dial(address string, handler state.ConnHandler) state.Conn {
-	db := &databaseConn{databases: databases, address: address, handler: handler}
-	connect(databases.Loop, address, databases.ConnectTimeout, db.onConnected)
+func (d *DatabaseDialer) Dial(address string, handler state.ConnHandler) state.Conn {
+	db := &databaseConn{dialer: d, address: address, handler: handler}
+	connect(d.Loop, address, d.ConnectTimeout, db.onConnected)
 	return db
 }
 
@@ -93,15 +93,15 @@
 			// The send buffer holds the largest query, so that a database that doesn't read can't block the loop. The receive
 			// buffer is limited because netpoll reads ahead of the loop, which is to notice early that a response never ends.
 			if c, ok := conn.(netpoll.Conn); ok {
-				syscall.SetsockoptInt(c.Fd(), syscall.SOL_SOCKET, syscall.SO_SNDBUF, sendBuffer)
-				syscall.SetsockoptInt(c.Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBuffer)
+				syscall.SetsockoptInt(c.Fd(), syscall.SOL_SOCKET, syscall.SO_SNDBUF, sendBufferBytes)
+				syscall.SetsockoptInt(c.Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBufferBytes)
 			}
 		}
 		loop.Post(func() { done(conn, err) })
 	}()
 }
 
-// setCallbacks has the loop informed of input on a connection and of its end.
+// setCallbacks has onReadable run on the loop when a connection has input, and onClose when it has closed.
 func setCallbacks(loop *Loop, conn netpoll.Connection, onReadable, onClose func()) {
 	conn.AddCloseCallback(func(netpoll.Connection) error {
 		loop.Post(onClose)
@@ -121,7 +121,7 @@
 	db.dialDone = true
 	switch {
 	case db.closed:
-		db.databases.abandonedDials--
+		db.dialer.abandonedDials--
 		if err == nil {
 			conn.Close()
 		}
@@ -131,7 +131,7 @@
 		return
 	}
 	db.conn, db.fd = conn, newDescriptor(conn)
-	setCallbacks(db.databases.Loop, conn, db.onReadable, func() { db.connectionLost(nil) })
+	setCallbacks(db.dialer.Loop, conn, db.onReadable, func() { db.connectionLost(nil) })
 	if !db.closed {
 		db.awaitingResponse = true
 		db.write(pg.AppendStartup(nil, databaseUser, databaseName))
@@ -153,7 +153,7 @@
 	db.awaitingResponse, db.probing = true, false
 	db.output = cmd.AppendTo(db.output[:0], timeout)
 	err := db.write(db.output)
-	if cap(db.output) > maxIdleCapacity {
+	if cap(db.output) > maxIdleBufferBytes {
 		db.output = nil
 	}
 	return err
@@ -167,7 +167,7 @@
 }
 
 // Reusable implements state.Conn. Responses carry no identifier: anything that arrives without a command, even if it is
-// still in the kernel's buffer, would be taken for the response to the next command.
+// still in the kernel's buffer, would be mistaken for the response to the next command.
 func (db *databaseConn) Reusable() bool {
 	return !db.closed && db.conn != nil && !db.awaitingResponse && db.conn.IsActive() &&
 		len(db.input.bytes) == 0 && db.fd.readBuffersEmpty()
@@ -183,7 +183,7 @@
 	if db.conn != nil {
 		db.conn.Close()
 	} else if !db.dialDone {
-		db.databases.abandonedDials++
+		db.dialer.abandonedDials++
 	}
 }
 
@@ -228,7 +228,7 @@
 				db.responseComplete()
 			} else if db.awaitingResponse && db.established && !db.responseStarted {
 				db.responseStarted = true
-				db.databases.Loop.deadlines.Set(&db.responseTimer, db.databases.Loop.clock.Now()+responseTimeout,
+				db.dialer.Loop.deadlines.Set(&db.responseTimer, db.dialer.Loop.clock.Now()+responseTimeout,
 					db.responseTimedOut)
 			}
 			return
@@ -239,7 +239,7 @@
 // clearResponseTimer ends the wait for the rest of a response.
 func (db *databaseConn) clearResponseTimer() {
 	db.responseStarted = false
-	db.databases.Loop.deadlines.Clear(&db.responseTimer)
+	db.dialer.Loop.deadlines.Clear(&db.responseTimer)
 }
 
 // responseTimedOut fails an incomplete response, unless the rest has arrived and only the loop was late.
@@ -269,10 +269,10 @@
 
 // abortMalformed closes a connection on which malformed data has arrived and valid data can't be recognized any more.
 func (db *databaseConn) abortMalformed(err error) {
-	db.databases.recordMalformed(db.address, err)
+	db.dialer.recordMalformed(db.address, err)
 	db.Close()
 	// netpoll closes the connection after this callback has returned; no other attempt may be sent before that.
-	db.databases.Loop.Post(db.handler.MalformedReply)
+	db.dialer.Loop.Post(db.handler.MalformedReply)
 }
 
 // stateReply converts the response to a state.Reply.
--- a/internal/net/descriptor.go
+++ b/internal/net/descriptor.go
@@ -9,7 +9,7 @@
 
 // descriptor holds the file descriptor of a connection, for system calls that netpoll doesn't offer. netpoll closes the
 // descriptor on a goroutine of its own, after which its number may belong to another connection. So it is used only
-// under the lock, and not any more once it is about to be closed.
+// under the lock, and no longer once it is about to be closed.
 type descriptor struct {
 	conn netpoll.Connection
 	mu   sync.Mutex
--- a/internal/net/discovery.go
+++ b/internal/net/discovery.go
@@ -19,13 +19,14 @@
 // A proxy must know of a change within six seconds of the time when the discovery service has it and is reachable. A
 // watch that gets no response is given up after longPollWait plus the timeout. The router then calls again after a pause,
 // and that first call, including its connection, may take firstPollWait plus the timeout. Together, even with one more
-// failed call, these stay within the six seconds. What the agent on this machine has counts as known at once, so with an
-// agent a failed call, the pause and the next call stay within the half second of grace that a drain allows.
+// failed call, these stay within the six seconds. With an agent on this machine the proxy is expected to know at once what
+// the agent has, so a failed call, the pause and the next call then stay within the half second of grace that a drain
+// allows.
 const (
 	longPollWait   = 1500 * time.Millisecond
 	firstPollWait  = 50 * time.Millisecond  // short, so that the first response comes at once
-	agentTimeout   = 300 * time.Millisecond // beyond the wait that a call asks for
-	serviceTimeout = time.Second            // likewise, without an agent
+	agentTimeout   = 300 * time.Millisecond // how long a response may take beyond the wait that the call asks for
+	serviceTimeout = time.Second            // the same, without an agent
 	// A list of thousands of databases takes time to transfer on a fraction of a core: while its bytes arrive, a call may
 	// take transferAllowance longer, which still fits into the six seconds.
 	transferAllowance = 500 * time.Millisecond
@@ -36,9 +37,9 @@
 
 var errCallTimedOut = errors.New("no response in time")
 
-// Discovery fetches the member list from the discovery service. It implements state.Discovery. A call blocks a goroutine
-// of its own and passes its result to the loop.
-type Discovery struct {
+// DiscoveryClient fetches the member list from the discovery service. It implements state.Discovery. A call blocks a
+// goroutine of its own and passes its result to the loop.
+type DiscoveryClient struct {
 	loop       *Loop
 	clock      state.Clock
 	deadlines  *state.Deadlines
@@ -58,11 +59,12 @@
 	onFirstCallDone func()
 }
 
-// NewDiscovery returns a client for the service at an address; generation is that of the current list. agent tells that
-// the address is that of an agent on this machine, which responds at once and at no cost, not that of a shared service.
-func NewDiscovery(loop *Loop, clock state.Clock, dispatcher *state.Dispatcher, address string, generation int64,
-	agent bool) *Discovery {
-	d := &Discovery{loop: loop, clock: clock, deadlines: &dispatcher.Deadlines, dispatcher: dispatcher, address: address,
+// NewDiscoveryClient returns a client for the service at an address; generation is that of the current list. agent tells
+// that the address is that of an agent on this machine, which responds at once and at no cost, not that of a shared
+// service.
+func NewDiscoveryClient(loop *Loop, clock state.Clock, dispatcher *state.Dispatcher, address string, generation int64,
+	agent bool) *DiscoveryClient {
+	d := &DiscoveryClient{loop: loop, clock: clock, deadlines: &dispatcher.Deadlines, dispatcher: dispatcher, address: address,
 		generation: generation, timeout: serviceTimeout, client: &http.Client{
 			Transport: &http.Transport{DialContext: (&stdnet.Dialer{}).DialContext, DisableCompression: true,
 				MaxResponseHeaderBytes: maxHeaderBytes},
@@ -74,11 +76,12 @@
 	return d
 }
 
-// OnFirstEnd sets a function to call once, when the first call has succeeded or failed.
-func (d *Discovery) OnFirstEnd(f func()) { d.onFirstCallDone = f }
+// OnFirstCallDone sets a function to call once, when the first call has succeeded or failed.
+func (d *DiscoveryClient) OnFirstCallDone(f func()) { d.onFirstCallDone = f }
 
-// notifyFirstCallDone runs the function set by OnFirstEnd, the first time that a call has ended and its result is processed.
-func (d *Discovery) notifyFirstCallDone() {
+// notifyFirstCallDone runs the function set by OnFirstCallDone, the first time that a call has ended and its result is
+// processed.
+func (d *DiscoveryClient) notifyFirstCallDone() {
 	if f := d.onFirstCallDone; f != nil {
 		d.onFirstCallDone = nil
 		f()
@@ -86,7 +89,7 @@
 }
 
 // Watch implements state.Discovery.
-func (d *Discovery) Watch(on bool) {
+func (d *DiscoveryClient) Watch(on bool) {
 	d.watching = on
 	if on {
 		d.restart()
@@ -94,27 +97,27 @@
 }
 
 // Fetch implements state.Discovery.
-func (d *Discovery) Fetch() {
+func (d *DiscoveryClient) Fetch() {
 	d.generation = discovery.NoList
 	d.restart()
 }
 
-// Move switches to another address at once: the service at the old one may end any time. It fetches the full list
-// first, since generations at the new address may not correspond to those at the old one.
-func (d *Discovery) Move(address string) {
+// SwitchAddress switches to another address at once: the service at the old one may stop at any time. It fetches the full
+// list first, since generations at the new address may not correspond to those at the old one.
+func (d *DiscoveryClient) SwitchAddress(address string) {
 	d.address, d.watching = address, true
 	d.Fetch()
 }
 
-// restart begins with a call that is answered at once and cancels the call in progress, if any.
-func (d *Discovery) restart() {
+// restart cancels the call in progress, if any, and starts a call that is answered at once.
+func (d *DiscoveryClient) restart() {
 	d.cancelCall()
 	d.firstCall = true
 	d.call()
 }
 
 // call starts a call: a short one if it is the first of its watch, else a long poll.
-func (d *Discovery) call() {
+func (d *DiscoveryClient) call() {
 	d.callNumber++
 	callNumber, wait := d.callNumber, longPollWait
 	if d.firstCall {
@@ -160,7 +163,7 @@
 
 // setCallDeadline fails the call in progress at the given time, unless its response is arriving then. A response stalls
 // when no bytes have come for as long as the first ones may take. One that has arrived whole only has to be decoded.
-func (d *Discovery) setCallDeadline(wait, at time.Duration) {
+func (d *DiscoveryClient) setCallDeadline(wait, at time.Duration) {
 	d.deadlines.Set(&d.timer, at, func() {
 		now := d.clock.Now()
 		due := min(time.Duration(d.progress.lastReadAt.Load()), d.calledAt+wait+transferAllowance) + d.timeout
@@ -176,7 +179,7 @@
 }
 
 // fetchList makes one call. A truncated response is an error, and so is one without a length that ends by a reset.
-func (d *Discovery) fetchList(ctx context.Context, url string, progress *callProgress) (discovery.List, error) {
+func (d *DiscoveryClient) fetchList(ctx context.Context, url string, progress *callProgress) (discovery.List, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return discovery.List{}, err
@@ -199,7 +202,7 @@
 }
 
 // callDone processes the result of a call, unless the call has been cancelled.
-func (d *Discovery) callDone(callNumber int, l discovery.List, err error) {
+func (d *DiscoveryClient) callDone(callNumber int, l discovery.List, err error) {
 	switch {
 	case callNumber != d.callNumber || d.cancel == nil:
 	case err != nil:
@@ -216,7 +219,7 @@
 }
 
 // listReceived passes a list to the dispatcher and schedules the next call of a watch.
-func (d *Discovery) listReceived(l discovery.List) {
+func (d *DiscoveryClient) listReceived(l discovery.List) {
 	d.cancel = nil
 	d.deadlines.Clear(&d.timer)
 	d.generation, d.firstCall = l.Generation, false
@@ -225,12 +228,12 @@
 		// tight loop: it serves all proxies, one call after the other.
 		d.deadlines.Set(&d.timer, max(d.calledAt+minCallInterval, d.clock.Now()), d.call)
 	}
-	d.dispatcher.ApplyList(ListOf(l))
+	d.dispatcher.ApplyList(ConvertList(l))
 	d.notifyFirstCallDone()
 }
 
-// ListOf converts a list of the discovery service to a state.List.
-func ListOf(l discovery.List) state.List {
+// ConvertList converts a list of the discovery service to a state.List.
+func ConvertList(l discovery.List) state.List {
 	out := state.List{Kind: logic.ListDelta}
 	if l.Whole {
 		out.Kind = logic.ListFull
@@ -250,7 +253,7 @@
 }
 
 // callFailed ends a watch; the router decides when to call again.
-func (d *Discovery) callFailed(err error) {
+func (d *DiscoveryClient) callFailed(err error) {
 	slog.Debug("discovery call failed", "error", err, "after", d.clock.Now()-d.calledAt, "generation", d.generation)
 	d.watching = false
 	d.cancelCall()
@@ -258,9 +261,9 @@
 	d.notifyFirstCallDone()
 }
 
-// cancelCall cancels the call in progress and closes its connection, so that a late response can't be taken for that of
-// the next call.
-func (d *Discovery) cancelCall() {
+// cancelCall cancels the call in progress and closes its connection, so that a late response can't be mistaken for
+// that of the next call.
+func (d *DiscoveryClient) cancelCall() {
 	d.deadlines.Clear(&d.timer)
 	if d.cancel != nil {
 		d.cancel()
--- a/internal/net/discovery_test.go
+++ b/internal/net/discovery_test.go
@@ -58,30 +58,30 @@
 	return ln.Addr().String(), calls
 }
 
-// testDiscovery is a proxy's Discovery on a clock that the test advances.
+// testDiscovery is a proxy's DiscoveryClient on a clock that the test advances.
 type testDiscovery struct {
 	t *testing.T
-	*Discovery
+	*DiscoveryClient
 	testClock  *adjustableClock
 	dispatcher *state.Dispatcher
 	loop       *Loop
 }
 
-// startDiscovery runs a Discovery whose current list has generation 3.
+// startDiscovery runs a DiscoveryClient whose current list has generation 3.
 func startDiscovery(t *testing.T, address string, isAgent bool) *testDiscovery {
 	t.Helper()
 	clock := &adjustableClock{SystemClock: state.NewSystemClock()}
 	cfg := testConfig
 	cfg.ListOnRequest, cfg.LocalAgent = true, isAgent
 	dispatcher, err := state.New(state.Config{Logic: cfg, MaxConnections: 1, ConnectTimeout: testTimeout},
-		clock, &Databases{})
+		clock, &DatabaseDialer{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	d := &testDiscovery{t: t, testClock: clock, dispatcher: dispatcher,
 		loop: NewLoop(clock, &dispatcher.Deadlines, &dispatcher.Counters)}
-	d.Discovery = NewDiscovery(d.loop, clock, dispatcher, address, 3, isAgent)
-	d.loop.Post(func() { dispatcher.Start(d.Discovery, state.List{}) })
+	d.DiscoveryClient = NewDiscoveryClient(d.loop, clock, dispatcher, address, 3, isAgent)
+	d.loop.Post(func() { dispatcher.Start(d.DiscoveryClient, state.List{}) })
 	done := make(chan struct{})
 	go func() { d.loop.Run(); close(done) }()
 	t.Cleanup(func() { d.loop.Post(d.loop.Stop); <-done })
@@ -271,7 +271,7 @@
 	next, nextCalls := startAgent(t)
 	d := startDiscovery(t, address, true)
 	old := <-calls
-	d.loop.Post(func() { d.Move(next) })
+	d.loop.Post(func() { d.SwitchAddress(next) })
 	c := <-nextCalls
 	if c.url != "/v1/endpoints" {
 		t.Errorf("the first call to the new address is %s", c.url)
@@ -286,7 +286,7 @@
 	}
 }
 
-var _ state.Discovery = (*Discovery)(nil)
+var _ state.Discovery = (*DiscoveryClient)(nil)
 
 // send writes a part of a response's body and waits until it has been read.
 func (d *testDiscovery) send(c receivedCall, progress *callProgress, piece string) {
--- a/internal/net/listener.go
+++ b/internal/net/listener.go
@@ -47,8 +47,8 @@
 		return nil, os.NewSyscallError("socket", err)
 	}
 	syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1)
-	syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_SNDBUF, sendBuffer) // accepted sockets inherit both sizes
-	syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBuffer)
+	syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_SNDBUF, sendBufferBytes) // accepted sockets inherit both sizes
+	syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBufferBytes)
 	if err := syscall.Bind(fd, socketAddress); err != nil {
 		syscall.Close(fd)
 		return nil, fmt.Errorf("listen on %s: %w", address, os.NewSyscallError("bind", err))
@@ -88,8 +88,8 @@
 	}
 }
 
-// admit hands a connection over, or closes it if too many are open. It runs ahead of the loop: connections of a large
-// burst for which there are no descriptors are closed here.
+// admit passes a connection to onAccept, or closes it if too many are open. It runs ahead of the loop: connections of a
+// large burst for which there are no descriptors are closed here.
 func (l *listener) admit(fd int) {
 	if l.open.Add(1) <= l.maxOpen {
 		l.onAccept(fd)
--- a/internal/net/loop.go
+++ b/internal/net/loop.go
@@ -13,8 +13,8 @@
 	"havenproxy/internal/state"
 )
 
-// Loop is the event loop, the goroutine that owns the router and the state of all connections. netpoll's pollers read
-// the sockets and post their callbacks to the loop, where they run one at a time.
+// Loop is the event loop. Its goroutine owns the router and the state of all connections. netpoll's pollers read the
+// sockets and post their callbacks to the loop, where they run one at a time.
 type Loop struct {
 	clock     state.Clock
 	deadlines *state.Deadlines
@@ -88,8 +88,8 @@
 // buffer is the input buffer of a connection. It grows as needed; bytes that remain after a discard move to its front.
 type buffer struct{ bytes []byte }
 
-// maxIdleCapacity is the largest buffer in bytes that a connection keeps while it is empty.
-const maxIdleCapacity = 16 << 10
+// maxIdleBufferBytes is the capacity of the largest buffer that a connection keeps while it is empty.
+const maxIdleBufferBytes = 16 << 10
 
 // fill appends everything that netpoll has read.
 func (b *buffer) fill(r netpoll.Reader) error {
@@ -106,7 +106,7 @@
 func (b *buffer) discard(n int) {
 	left := copy(b.bytes, b.bytes[n:])
 	b.bytes = b.bytes[:left]
-	if left == 0 && cap(b.bytes) > maxIdleCapacity {
+	if left == 0 && cap(b.bytes) > maxIdleBufferBytes {
 		b.bytes = nil
 	}
 }
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -52,14 +52,14 @@
 func startProxy(t *testing.T, member string, clients, excess int) (*Server, *state.Dispatcher, *Loop) {
 	t.Helper()
 	clock := &adjustableClock{SystemClock: state.NewSystemClock()}
-	databases := &Databases{ConnectTimeout: testTimeout}
+	dialer := &DatabaseDialer{ConnectTimeout: testTimeout}
 	dispatcher, err := state.New(state.Config{Logic: testConfig, MaxConnections: 16, ConnectTimeout: testTimeout},
-		clock, databases)
+		clock, dialer)
 	if err != nil {
 		t.Fatal(err)
 	}
 	loop := NewLoop(clock, &dispatcher.Deadlines, &dispatcher.Counters)
-	databases.Loop, databases.Counters = loop, &dispatcher.Counters
+	dialer.Loop, dialer.Counters = loop, &dispatcher.Counters
 	s := NewServer(loop, clock, dispatcher, clients, excess, 32<<20)
 	s.idleLimit = clients // so that a test closes clients for one reason only
 	listen(t, s)
@@ -437,9 +437,9 @@
 	}
 }
 
-// A duplicate response or garbage after a response was taken for the response to the next request on that connection.
+// A duplicate response or garbage after a response was mistaken for the response to the next request on that connection.
 // The response before it is valid.
-func TestDataAfterResponseIsNotTakenForNextResponse(t *testing.T) {
+func TestDataAfterResponseIsNotMistakenForNextResponse(t *testing.T) {
 	for name, extra := range map[string]func(answer []byte) []byte{
 		"a copy":      func(a []byte) []byte { return a },
 		"half a copy": func(a []byte) []byte { return a[:len(a)/2] },
@@ -561,8 +561,8 @@
 		}
 		defer conn.Close()
 		got, err := syscall.GetsockoptInt(conn.(netpoll.Conn).Fd(), syscall.SOL_SOCKET, syscall.SO_RCVBUF)
-		if err != nil || got != 2*receiveBuffer { // the kernel doubles the value; by default it lets the buffer grow
-			t.Errorf("receive buffer of %d bytes, error %v; want a fixed size of %d", got, err, 2*receiveBuffer)
+		if err != nil || got != 2*receiveBufferBytes { // the kernel doubles the value; by default it lets the buffer grow
+			t.Errorf("receive buffer of %d bytes, error %v; want a fixed size of %d", got, err, 2*receiveBufferBytes)
 		}
 	})
 	loop.Run()
@@ -578,7 +578,7 @@
 	partial := pg.AppendQuery(nil, "")[:3]
 	drained := func() bool {
 		got := make(chan bool)
-		loop.Post(func() { got <- s.Drained(false) })
+		loop.Post(func() { got <- s.CloseIdle(false) })
 		return <-got
 	}
 	p.conn.Write(partial)
--- a/internal/net/stallmonitor.go
+++ b/internal/net/stallmonitor.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// stallThreshold is how long one iteration of the loop may take before it is logged. Requests wait 200 ms and more.
+	// stallThreshold is how long one iteration of the loop may take before it is logged. Request timeouts are 200 ms or longer.
 	stallThreshold = 50 * time.Millisecond
 	// stallLogInterval is the minimum time between these log lines, except for iterations longer than any before.
 	stallLogInterval = 10 * time.Second
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -98,7 +98,7 @@
 	clock      state.Clock
 	dispatcher *state.Dispatcher
 	server     *net.Server
-	discovery  *net.Discovery
+	discovery  *net.DiscoveryClient
 
 	longestDeadline time.Duration // the longest ClientTimeout of a request class, at most longestDeadlineCap
 	stopping        bool
@@ -136,11 +136,11 @@
 	// which answers only when asked: without a watch the proxy would keep the list it started with for good.
 	deployment.Config.LocalAgent, deployment.Config.ListOnRequest = !deployment.Config.ListOnRequest, true
 	p := &proxy{clock: state.NewSystemClock()}
-	databases := &net.Databases{ConnectTimeout: deployment.ConnectTimeout}
+	dialer := &net.DatabaseDialer{ConnectTimeout: deployment.ConnectTimeout}
 	var err error
 	p.dispatcher, err = state.New(state.Config{Logic: deployment.Config, Zones: deployment.Zones,
 		DatabaseIdleTimeout: deployment.DatabaseIdleTimeout, ConnectTimeout: deployment.ConnectTimeout, MaxConnections: connections},
-		p.clock, databases)
+		p.clock, dialer)
 	if err != nil {
 		return nil, err
 	}
@@ -148,7 +148,7 @@
 		p.longestDeadline = min(max(p.longestDeadline, c.ClientTimeout), longestDeadlineCap)
 	}
 	p.loop = net.NewLoop(p.clock, &p.dispatcher.Deadlines, &p.dispatcher.Counters)
-	databases.Loop, databases.Counters = p.loop, &p.dispatcher.Counters
+	dialer.Loop, dialer.Counters = p.loop, &p.dispatcher.Counters
 	maxBuffered := maxBufferBytes
 	if cfg.MemoryMB > 0 {
 		maxBuffered = min(cfg.MemoryMB<<20/bufferDivisor, maxBufferBytes)
@@ -157,9 +157,9 @@
 	if err := p.server.Bind(cfg.Listen); err != nil {
 		return nil, err
 	}
-	p.discovery = net.NewDiscovery(p.loop, p.clock, p.dispatcher, cfg.Discovery, cfg.Known.Generation,
+	p.discovery = net.NewDiscoveryClient(p.loop, p.clock, p.dispatcher, cfg.Discovery, cfg.Known.Generation,
 		deployment.Config.LocalAgent)
-	p.loop.Post(func() { p.startServing(net.ListOf(cfg.Known)) })
+	p.loop.Post(func() { p.startServing(net.ConvertList(cfg.Known)) })
 	return p, nil
 }
 
@@ -170,7 +170,7 @@
 	startedAt := p.clock.Now()
 	listen := func() {
 		p.dispatcher.Deadlines.Clear(&p.listenTimer)
-		p.discovery.OnFirstEnd(nil)
+		p.discovery.OnFirstCallDone(nil)
 		if p.stopping {
 			return
 		}
@@ -181,7 +181,7 @@
 		}
 		slog.Info("listening", "after", p.clock.Now()-startedAt)
 	}
-	p.discovery.OnFirstEnd(listen)
+	p.discovery.OnFirstCallDone(listen)
 	p.dispatcher.Deadlines.Set(&p.listenTimer, startedAt+maxListenDelay, listen)
 	p.dispatcher.Start(p.discovery, known)
 	p.scheduleCounterLog()
@@ -196,8 +196,8 @@
 	})
 }
 
-// handleSignals handles signals until their channel is closed: SIGUSR1 logs the counters, SIGHUP
-// reloads the configuration file at path, and any other signal stops the proxy.
+// handleSignals handles signals until their channel is closed: SIGUSR1 logs the counters, SIGHUP reloads the configuration
+// file at path, and any other signal stops the proxy.
 func (p *proxy) handleSignals(signals <-chan os.Signal, path string) {
 	for s := range signals {
 		switch s {
@@ -223,11 +223,11 @@
 	}
 	p.loop.Post(func() {
 		slog.Info("reloaded", "discovery", cfg.Discovery)
-		p.discovery.Move(cfg.Discovery)
+		p.discovery.SwitchAddress(cfg.Discovery)
 	})
 }
 
-// stop shuts the proxy down gracefully. It accepts new clients for acceptGracePeriod, then serves those that are connected
+// stop shuts the proxy down gracefully: it accepts new clients for acceptGracePeriod, then serves those that are connected
 // until drainMargin before its exit, then closes idle clients and exits after the last answer.
 func (p *proxy) stop() {
 	if p.stopping {
@@ -239,7 +239,7 @@
 	p.exitAt = now + p.longestDeadline + stopMargin
 	p.dispatcher.ShutDownAt(p.exitAt - answerMargin)
 	p.dispatcher.Deadlines.Set(&p.stopTimer, now+acceptGracePeriod, func() {
-		p.server.EndListening()
+		p.server.StopListening()
 		p.dispatcher.Deadlines.Set(&p.stopTimer, p.exitAt-drainMargin, p.drain)
 	})
 }
@@ -253,7 +253,7 @@
 // pollDrained stops the loop once every client is closed and every request has ended, or at exitAt.
 func (p *proxy) pollDrained() {
 	now := p.clock.Now()
-	if p.server.Drained(now >= p.exitAt-answerMargin) && p.dispatcher.OpenRequests() == 0 || now >= p.exitAt {
+	if p.server.CloseIdle(now >= p.exitAt-answerMargin) && p.dispatcher.OpenRequests() == 0 || now >= p.exitAt {
 		p.loop.Stop()
 		return
 	}
--- a/internal/run/run_test.go
+++ b/internal/run/run_test.go
@@ -120,7 +120,7 @@
 		}
 	}
 	expect(want)
-	p.loop.Post(p.server.EndListening)
+	p.loop.Post(p.server.StopListening)
 	for _, conn := range clients {
 		conn.Write(pg.AppendQuery(nil, "")) // connected clients are still served
 	}
