--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -24,8 +24,8 @@
 
 // instance is one hosted router, with what its settings say about decoding its records.
 type instance struct {
-	router *logic.Router // nil if its settings were unusable
-	scale  sim.Scale
+	router       *logic.Router // nil if its settings were unusable
+	reportFormat sim.ReportFormat
 }
 
 // host holds the instances of this process. They share the encoder of replies and nothing else.
@@ -44,7 +44,7 @@
 			return nil
 		}
 		if err == nil {
-			err = decoder.Each(batch, h.scale, func(e sim.Event) error { h.handle(batch.Now, e); return nil })
+			err = decoder.Each(batch, h.reportFormat, func(e sim.Event) error { h.handle(batch.Now, e); return nil })
 		}
 		if err == nil {
 			err = h.out.Flush(writer)
@@ -55,23 +55,23 @@
 	}
 }
 
-// scale returns how to decode the records of an instance, and false if there is no such instance.
-func (h *host) scale(id uint32) (sim.Scale, bool) {
+// reportFormat returns how to decode the records of an instance, and false if there is no such instance.
+func (h *host) reportFormat(id uint32) (sim.ReportFormat, bool) {
 	inst, ok := h.instances[id]
 	if !ok {
-		return sim.Scale{}, false
+		return sim.ReportFormat{}, false
 	}
-	return inst.scale, true
+	return inst.reportFormat, true
 }
 
 // handle passes an event to the router of its instance. It also creates and deletes instances.
 func (h *host) handle(now time.Duration, e sim.Event) {
 	h.out.Instance = e.Instance
 	switch e.Kind {
-	case sim.Hello:
+	case sim.InstanceStarted:
 		h.start(e)
 		return
-	case sim.Retire:
+	case sim.InstanceStopped:
 		delete(h.instances, e.Instance)
 		return
 	}
@@ -82,9 +82,9 @@
 	switch e.Kind {
 	case sim.MemberList:
 		r.MemberList(now, e.List)
-	case sim.Submit:
+	case sim.RequestReceived:
 		r.Request(now, e.Request)
-	case sim.Head:
+	case sim.AnswerHead:
 		r.AnswerStarted(now, e.ID, e.Attempt)
 	case sim.Outcome:
 		r.Outcome(now, e.Outcome)
@@ -103,10 +103,10 @@
 	h.instances[e.Instance] = inst
 	parsed, err := settings.Parse(e.Settings, e.Seed)
 	if err == nil {
-		inst.scale = sim.Scale{Origin: parsed.Origin, Fields: parsed.Fields}
+		inst.reportFormat = sim.ReportFormat{Origin: parsed.Origin, Fields: parsed.Fields}
 		inst.router, err = logic.New(parsed.Config, &h.out)
 	}
 	if err != nil {
-		h.out.GiveIn(err.Error())
+		h.out.Abort(err.Error())
 	}
 }
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -19,8 +19,8 @@
 	return append(b, tail...)
 }
 
-// hello encodes the record that starts instance 4 with settings of the given length in the batch's text.
-func hello(settings string) []byte {
+// startRecord encodes the record that starts instance 4 with settings of the given length in the batch's text.
+func startRecord(settings string) []byte {
 	record := []byte{19, 4, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0, 0, 0}
 	return binary.LittleEndian.AppendUint32(record, uint32(len(settings)))
 }
@@ -32,7 +32,7 @@
 		`{"tick": 0, "domain": {"freshness": ["any"]}, "request_classes": [{"aim": 1, "hard_limit": 2}]}`: "Config.Tick",
 	} {
 		var out bytes.Buffer
-		if err := run(bytes.NewReader(batch(settings, hello(settings))), &out); err != nil {
+		if err := run(bytes.NewReader(batch(settings, startRecord(settings))), &out); err != nil {
 			t.Fatal(err)
 		}
 		if got := out.Bytes(); got[8] != 25 || !strings.Contains(string(got), want) {
@@ -43,10 +43,10 @@
 
 func TestRestartWithinBatchStartsNewRouter(t *testing.T) {
 	settings := `{"tick": 5000, "domain": {"freshness": ["any"]}, "request_classes": [{"aim": 1, "hard_limit": 2}]}`
-	retire := []byte{22, 4, 0, 0, 0}
+	stop := []byte{22, 4, 0, 0, 0}
 	timer := []byte{18, 4, 0, 0, 0, 1}
 	var out bytes.Buffer
-	in := append(batch(settings, hello(settings), timer, retire, hello(settings), timer), batch("", timer)...)
+	in := append(batch(settings, startRecord(settings), timer, stop, startRecord(settings), timer), batch("", timer)...)
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/havenproxy/cost_test.go
+++ b/cmd/havenproxy/cost_test.go
@@ -28,8 +28,8 @@
 func measureCost(t *testing.T, databases int) fleetCost {
 	fleet := startDatabases(t, databases, 20*time.Millisecond)
 	service := startDiscovery(t, fleet)
-	known, _ := service.list(-1)
-	p := startProxy(t, proxyOptions{known: known, discovery: service.address,
+	initialList, _ := service.list(-1)
+	p := startProxy(t, proxyOptions{initialList: initialList, discovery: service.address,
 		fleetSize: largeFleetProxies, sockets: fewDescriptors})
 	load := newLoadGenerator(p)
 	for step := range 4 {
--- a/cmd/havenproxy/large_fleet_test.go
+++ b/cmd/havenproxy/large_fleet_test.go
@@ -107,8 +107,8 @@
 	t.Helper()
 	fleet := startDatabases(t, largeFleetDatabases, 20*time.Millisecond)
 	service := startDiscovery(t, fleet)
-	known, _ := service.list(-1)
-	return fleet, service, proxyOptions{known: known, discovery: service.address,
+	initialList, _ := service.list(-1)
+	return fleet, service, proxyOptions{initialList: initialList, discovery: service.address,
 		fleetSize: largeFleetProxies, sockets: sockets}
 }
 
--- a/cmd/havenproxy/process_test.go
+++ b/cmd/havenproxy/process_test.go
@@ -31,12 +31,12 @@
 
 // proxyOptions are the options of a proxy that differ between tests.
 type proxyOptions struct {
-	known     discovery.List // the member list in its configuration
-	discovery string         // the address of the discovery service
-	fleetSize int            // the number of proxies that share the traffic
-	sockets   int            // limit on descriptors
-	cpuShare  float64        // share of a core; 0 = unlimited
-	address   string         // the address to listen on; empty = a free one
+	initialList discovery.List // the member list in its configuration
+	discovery   string         // the address of the discovery service
+	fleetSize   int            // the number of proxies that share the traffic
+	sockets     int            // limit on descriptors
+	cpuShare    float64        // share of a core; 0 = unlimited
+	address     string         // the address to listen on; empty = a free one
 }
 
 // proxyProcess is a proxy that runs as a process of its own.
@@ -112,7 +112,7 @@
 	t.Helper()
 	config, err := json.Marshal(map[string]any{"name": "n0", "listen": p.address, "discovery": p.options.discovery,
 		"seed": "8c1f30d27a5be964", "limits": map[string]any{"memory_mb": 192, "sockets": p.options.sockets},
-		"known": p.options.known, "settings": json.RawMessage(fmt.Appendf(nil, settingsFormat, p.options.fleetSize))})
+		"known": p.options.initialList, "settings": json.RawMessage(fmt.Appendf(nil, settingsFormat, p.options.fleetSize))})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/havenproxy/standins_test.go
+++ b/cmd/havenproxy/standins_test.go
@@ -77,10 +77,10 @@
 func (s *databaseServer) serve(conn net.Conn) {
 	defer conn.Close()
 	reader := &messageReader{conn: conn}
-	if _, err := reader.read(func(b []byte) (int, error) { _, n, err := pg.NextOpening(b); return n, err }); err != nil {
+	if _, err := reader.read(func(b []byte) (int, error) { _, n, err := pg.NextStartup(b); return n, err }); err != nil {
 		return
 	}
-	conn.Write(pg.AppendWelcome(nil))
+	conn.Write(pg.AppendStartupReply(nil))
 	for {
 		message, err := reader.next()
 		if err != nil {
@@ -104,7 +104,7 @@
 		if s.primary {
 			role = 1
 		}
-		return pg.AppendReady(appendRow(nil, fmt.Sprintf("x0=%.3f,x1=%d,queue=0,util=0.1",
+		return pg.AppendReadyForQuery(appendRow(nil, fmt.Sprintf("x0=%.3f,x1=%d,queue=0,util=0.1",
 			float64(time.Now().UnixMilli())/1000, role)))
 	}
 	if statement, err := pg.ParseStatement(text); err == nil {
@@ -126,7 +126,7 @@
 		"applied_ms\x00" + strconv.FormatInt(time.Now().UnixMilli(), 10) + "\x00"} {
 		dst = appendMessage(dst, 'S', parameter)
 	}
-	return pg.AppendReady(dst)
+	return pg.AppendReadyForQuery(dst)
 }
 
 // appendMessage appends a message of the PostgreSQL protocol.
@@ -183,8 +183,8 @@
 
 	mu         sync.Mutex
 	generation int64
-	instances  map[string]discovery.Instance
-	changedIn  map[string]int64 // the generation in which an instance last changed
+	members    map[string]discovery.Member
+	changedIn  map[string]int64 // the generation in which a member last changed
 	changed    chan struct{}    // closed by the next change
 	calls      []string         // the URL of each call
 	bytes      int              // total size of the response bodies
@@ -204,10 +204,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	service := &discoveryService{address: listener.Addr().String(), generation: 1, instances: map[string]discovery.Instance{},
+	service := &discoveryService{address: listener.Addr().String(), generation: 1, members: map[string]discovery.Member{},
 		changedIn: map[string]int64{}, changed: make(chan struct{})}
 	for _, server := range fleet.servers {
-		service.instances[server.name] = server.instance(discovery.InService)
+		service.members[server.name] = server.listEntry(discovery.InService)
 		service.changedIn[server.name] = 1
 	}
 	server := &http.Server{Handler: service}
@@ -216,9 +216,9 @@
 	return service
 }
 
-// instance returns the server's entry in the list.
-func (s *databaseServer) instance(lifecycle string) discovery.Instance {
-	return discovery.Instance{ID: s.name, Address: s.address, Zone: "cairo-east", Group: s.group,
+// listEntry returns the server's entry in the list.
+func (s *databaseServer) listEntry(lifecycle string) discovery.Member {
+	return discovery.Member{ID: s.name, Address: s.address, Zone: "cairo-east", Group: s.group,
 		Lifecycle: lifecycle, Weight: 1}
 }
 
@@ -228,7 +228,7 @@
 	defer d.mu.Unlock()
 	d.generation++
 	for _, server := range servers {
-		d.instances[server.name] = server.instance(lifecycle)
+		d.members[server.name] = server.listEntry(lifecycle)
 		d.changedIn[server.name] = d.generation
 	}
 	close(d.changed)
@@ -240,13 +240,13 @@
 func (d *discoveryService) list(after int64) (discovery.List, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	out := discovery.List{Generation: d.generation, Whole: after < 0, Instances: []discovery.Instance{}}
-	for name, instance := range d.instances {
-		if d.changedIn[name] > after && (!out.Whole || instance.Lifecycle != discovery.Terminated) {
-			out.Instances = append(out.Instances, instance)
+	out := discovery.List{Generation: d.generation, Full: after < 0, Members: []discovery.Member{}}
+	for name, member := range d.members {
+		if d.changedIn[name] > after && (!out.Full || member.Lifecycle != discovery.Terminated) {
+			out.Members = append(out.Members, member)
 		}
 	}
-	slices.SortFunc(out.Instances, func(a, b discovery.Instance) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(out.Members, func(a, b discovery.Member) int { return strings.Compare(a.ID, b.ID) })
 	return out, d.changed
 }
 
@@ -261,7 +261,7 @@
 	}
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	list, changed := d.list(after)
-	if !list.Whole && len(list.Instances) == 0 {
+	if !list.Full && len(list.Members) == 0 {
 		select {
 		case <-changed:
 		case <-time.After(time.Duration(wait) * time.Millisecond):
--- a/internal/net/client.go
+++ b/internal/net/client.go
@@ -99,7 +99,7 @@
 			return
 		}
 		c.server.dispatcher.Counters.ClientsRejected++ // the partial query has not been accepted as a request
-		c.closeWithError(pg.CodeTooMany, "no memory for a query of this size now")
+		c.closeWithError(pg.CodeTooManyConnections, "no memory for a query of this size now")
 	}
 	c.input.discard(len(c.input.bytes)) // input after the final response is ignored
 	c.accountBuffer()
@@ -126,7 +126,7 @@
 // protocolError counts the error and closes the connection with it.
 func (c *client) protocolError(err error) {
 	c.server.dispatcher.Counters.Malformed++
-	c.closeWithError(pg.CodeProtocol, err.Error())
+	c.closeWithError(pg.CodeProtocolViolation, err.Error())
 }
 
 // updateEvictionList moves the client to the list from which it may be closed to make room: silent clients have sent
@@ -195,21 +195,21 @@
 
 // handleStartup handles a startup, encryption or cancel request and returns its length, or 0 if it is incomplete.
 func (c *client) handleStartup(buf []byte) (int, error) {
-	opening, n, err := pg.NextOpening(buf)
+	kind, n, err := pg.NextStartup(buf)
 	if n == 0 || err != nil {
 		return 0, err
 	}
 	switch {
-	case opening == pg.OpenEncrypted:
-		c.write(pg.AppendRefuseEncryption(nil))
-	case opening == pg.OpenCancel:
+	case kind == pg.StartupEncryption:
+		c.write(pg.AppendEncryptionRefusal(nil))
+	case kind == pg.StartupCancel:
 		c.close()
 	case c.excess:
 		c.server.dispatcher.Counters.ClientsRejected++
-		c.closeWithError(pg.CodeTooMany, "too many clients")
+		c.closeWithError(pg.CodeTooManyConnections, "too many clients")
 	default:
 		c.connState = stateServing
-		c.write(pg.AppendWelcome(nil))
+		c.write(pg.AppendStartupReply(nil))
 	}
 	return n, nil
 }
@@ -223,7 +223,7 @@
 	resp := &pendingResponse{client: c}
 	if strings.Trim(text, " \t\r\n;") == "" {
 		c.responses = append(c.responses, resp)
-		resp.complete(pg.AppendEmpty(nil))
+		resp.complete(pg.AppendEmptyQueryResponse(nil))
 		return nil
 	}
 	st, err := pg.ParseStatement(text)
@@ -240,15 +240,15 @@
 }
 
 // Served implements state.Responder.
-func (resp *pendingResponse) Served(body []byte) { resp.complete(pg.AppendServed(nil, body)) }
+func (resp *pendingResponse) Served(body []byte) { resp.complete(pg.AppendResult(nil, body)) }
 
 // Refused implements state.Responder.
 func (resp *pendingResponse) Refused(retryAfter time.Duration) {
-	resp.complete(pg.AppendRefused(nil, retryAfter))
+	resp.complete(pg.AppendRefusal(nil, retryAfter))
 }
 
 // Failed implements state.Responder.
-func (resp *pendingResponse) Failed() { resp.complete(pg.AppendFailed(nil)) }
+func (resp *pendingResponse) Failed() { resp.complete(pg.AppendFailure(nil)) }
 
 // complete records the response and sends every response that is next in order.
 func (resp *pendingResponse) complete(answer []byte) {
--- a/internal/net/database.go
+++ b/internal/net/database.go
@@ -281,9 +281,9 @@
 	switch db.reply.Code {
 	case "":
 		r.Result = logic.OK
-	case pg.CodeReadOnly, pg.CodeTooFarBack:
+	case pg.CodeReadOnlyTransaction, pg.CodeSnapshotTooOld:
 		r.Result = logic.Miss
-	case pg.CodeTooMany, pg.CodeNotNow:
+	case pg.CodeTooManyConnections, pg.CodeCannotConnectNow:
 		r.Result = logic.Full
 	default:
 		r.StatementError = pg.StatementError(db.reply.Code)
--- a/internal/net/discovery.go
+++ b/internal/net/discovery.go
@@ -98,7 +98,7 @@
 
 // Fetch implements state.Discovery.
 func (d *DiscoveryClient) Fetch() {
-	d.generation = discovery.NoList
+	d.generation = discovery.NoGeneration
 	d.restart()
 }
 
@@ -128,7 +128,7 @@
 	progress := &callProgress{clock: d.clock}
 	d.progress = progress
 	d.setCallDeadline(wait, d.calledAt+wait+d.timeout)
-	url := discovery.URL(d.address, d.generation, wait)
+	url := discovery.EndpointsURL(d.address, d.generation, wait)
 	go func() {
 		defer cancel()
 		l, err := d.fetchList(ctx, url, progress)
@@ -193,7 +193,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return discovery.List{}, fmt.Errorf("unexpected HTTP status %s", resp.Status)
 	}
-	body, err := io.ReadAll(io.LimitReader(progress.reader(resp.Body), discovery.MaxBody))
+	body, err := io.ReadAll(io.LimitReader(progress.reader(resp.Body), discovery.MaxResponseBytes))
 	if err != nil {
 		return discovery.List{}, err
 	}
@@ -207,11 +207,11 @@
 	case callNumber != d.callNumber || d.cancel == nil:
 	case err != nil:
 		d.callFailed(err)
-	case d.generation != discovery.NoList && l.Generation < d.generation:
+	case d.generation != discovery.NoGeneration && l.Generation < d.generation:
 		// The list is older than the current one and would undo changes that may still hold. The next call fetches the full
 		// list, which is accepted whatever its generation.
 		err = fmt.Errorf("list of generation %d is older than the current one of generation %d", l.Generation, d.generation)
-		d.generation = discovery.NoList
+		d.generation = discovery.NoGeneration
 		d.callFailed(err)
 	default:
 		d.listReceived(l)
@@ -235,10 +235,10 @@
 // ConvertList converts a list of the discovery service to a state.List.
 func ConvertList(l discovery.List) state.List {
 	out := state.List{Kind: logic.ListDelta}
-	if l.Whole {
+	if l.Full {
 		out.Kind = logic.ListFull
 	}
-	for _, e := range l.Instances {
+	for _, e := range l.Members {
 		s := logic.Ready
 		switch e.Lifecycle {
 		case discovery.Terminating:
--- a/internal/net/discovery_test.go
+++ b/internal/net/discovery_test.go
@@ -124,8 +124,8 @@
 	}) == 1
 }
 
-// oneInstanceList is the body of a list with one instance, without its generation and reset.
-const oneInstanceList = `{"generation":%d,"reset":%t,"instances":[{"instanceId":"a","lifecycle":"in_service"}]}`
+// oneMemberList is the body of a list with one member; its generation and reset are to be filled in.
+const oneMemberList = `{"generation":%d,"reset":%t,"instances":[{"instanceId":"a","lifecycle":"in_service"}]}`
 
 // A response is accepted in every form that HTTP allows and in fragments, and the next call sends its generation.
 func TestDiscoveryAcceptsCompleteResponsesInAnyEncoding(t *testing.T) {
@@ -158,7 +158,7 @@
 
 // No list is accepted from a truncated response, even if it would pass for a complete one, nor from an invalid one.
 func TestDiscoveryRejectsIncompleteOrInvalidResponses(t *testing.T) {
-	body := fmt.Sprintf(oneInstanceList, 9, true)
+	body := fmt.Sprintf(oneMemberList, 9, true)
 	for name, answer := range map[string]string{
 		"half":           "HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n" + body,
 		"half chunked":   fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(body), body),
@@ -167,7 +167,7 @@
 		"bad length":     "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n" + body,
 		"bad status":     "HTTP/1.1 abc\r\n\r\n" + body,
 		"long head":      "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2<<20) + "\r\n\r\n" + body,
-		"too long":       "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat(" ", discovery.MaxBody) + body,
+		"too long":       "HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat(" ", discovery.MaxResponseBytes) + body,
 		"busy":           "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
 		"gone elsewhere": "HTTP/1.1 302 Found\r\nLocation: /v1/others\r\nContent-Length: 0\r\n\r\n",
 		"reset":          "HTTP/1.1 200 OK\r\n\r\n" + body,
@@ -198,7 +198,7 @@
 	for _, isAgent := range []bool{false, true} {
 		address, calls := startAgent(t)
 		d := startDiscovery(t, address, isAgent)
-		(<-calls).answer(fmt.Sprintf(oneInstanceList, 5, true))
+		(<-calls).answer(fmt.Sprintf(oneMemberList, 5, true))
 		silent := <-calls
 		elapsed := d.advanceUntil(func() bool { return d.failures() == 1 })
 		if elapsed < longPollWait {
@@ -213,8 +213,8 @@
 		if elapsed += retryDelay; elapsed > 5500*time.Millisecond || isAgent && retryDelay > 600*time.Millisecond {
 			t.Errorf("agent %v: last call %v after the watch began, %v after it was given up", isAgent, elapsed, retryDelay)
 		}
-		silent.answer(fmt.Sprintf(oneInstanceList, 99, true)) // too late
-		c.answer(fmt.Sprintf(oneInstanceList, 6, true))
+		silent.answer(fmt.Sprintf(oneMemberList, 99, true)) // too late
+		c.answer(fmt.Sprintf(oneMemberList, 6, true))
 		if c := <-calls; c.url != "/v1/endpoints?after=6&wait_ms=1500" {
 			t.Errorf("the next call is %s", c.url)
 		}
@@ -236,7 +236,7 @@
 	if elapsed := d.advanceUntil(d.callInFlight); elapsed > 150*time.Millisecond {
 		t.Errorf("called again after %v", elapsed)
 	}
-	(<-calls).answer(fmt.Sprintf(oneInstanceList, 5, true))
+	(<-calls).answer(fmt.Sprintf(oneMemberList, 5, true))
 	reset(<-calls)
 	if c := <-calls; !strings.HasPrefix(c.url, "/v1/endpoints?after=5&") {
 		t.Errorf("the next call is %s", c.url)
@@ -251,7 +251,7 @@
 	address, calls := startAgent(t)
 	d := startDiscovery(t, address, true)
 	(<-calls).answer(`{"generation":5,"reset":true,"instances":[{"instanceId":"a","lifecycle":"terminating"}]}`)
-	(<-calls).answer(fmt.Sprintf(oneInstanceList, 4, true))
+	(<-calls).answer(fmt.Sprintf(oneMemberList, 4, true))
 	for d.failures() == 0 {
 	}
 	d.advanceUntil(d.callInFlight)
@@ -259,7 +259,7 @@
 	if c.url != "/v1/endpoints" {
 		t.Errorf("the next call is %s", c.url)
 	}
-	c.answer(fmt.Sprintf(oneInstanceList, 4, true))
+	c.answer(fmt.Sprintf(oneMemberList, 4, true))
 	if c := <-calls; c.url != "/v1/endpoints?after=4&wait_ms=1500" {
 		t.Errorf("the last call is %s", c.url)
 	}
@@ -276,8 +276,8 @@
 	if c.url != "/v1/endpoints" {
 		t.Errorf("the first call to the new address is %s", c.url)
 	}
-	old.answer(fmt.Sprintf(oneInstanceList, 99, true))
-	c.answer(fmt.Sprintf(oneInstanceList, 2, true))
+	old.answer(fmt.Sprintf(oneMemberList, 99, true))
+	c.answer(fmt.Sprintf(oneMemberList, 2, true))
 	if c := <-nextCalls; c.url != "/v1/endpoints?after=2&wait_ms=1500" {
 		t.Errorf("the second call to the new address is %s", c.url)
 	}
@@ -313,7 +313,7 @@
 		address, calls := startAgent(t)
 		d := startDiscovery(t, address, isAgent)
 		c := <-calls
-		body := fmt.Sprintf(oneInstanceList, 9, true) + strings.Repeat(" ", 4000)
+		body := fmt.Sprintf(oneMemberList, 9, true) + strings.Repeat(" ", 4000)
 		fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body))
 		progress := d.currentProgress()
 		for sent := 0; sent < len(body); sent += 1000 { // each piece arrives in time, the last one after the timeout
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -104,10 +104,10 @@
 			go func() {
 				defer conn.Close()
 				peer := &peer{conn: conn}
-				if _, err := peer.readNext(func(b []byte) (int, error) { _, n, err := pg.NextOpening(b); return n, err }); err != nil {
+				if _, err := peer.readNext(func(b []byte) (int, error) { _, n, err := pg.NextStartup(b); return n, err }); err != nil {
 					return
 				}
-				conn.Write(pg.AppendWelcome(nil))
+				conn.Write(pg.AppendStartupReply(nil))
 				for {
 					m, err := peer.readMessage()
 					if err != nil {
@@ -128,7 +128,7 @@
 func rowResponse(text string) []byte {
 	value := append([]byte{0, 1, 0, 0, byte(len(text) >> 8), byte(len(text))}, text...)
 	out := append([]byte{'D', 0, 0, byte((len(value) + 4) >> 8), byte(len(value) + 4)}, value...)
-	return pg.AppendReady(append(out, "C\x00\x00\x00\x0dSELECT 1\x00"...))
+	return pg.AppendReadyForQuery(append(out, "C\x00\x00\x00\x0dSELECT 1\x00"...))
 }
 
 // echo answers a query with its own text.
@@ -199,8 +199,8 @@
 	return fmt.Sprintf("SELECT val FROM state WHERE uid = '%s' /* id=%[1]s,c=any,d=15000,cluster=0 */", key)
 }
 
-// welcomeTypes are the types of the messages that answer a startup message.
-const welcomeTypes = "RSSSSZ"
+// startupReplyTypes are the types of the messages that answer a startup message.
+const startupReplyTypes = "RSSSSZ"
 
 func TestFragmentedPipelinedQueriesAreAnsweredInOrder(t *testing.T) {
 	s, _, _ := startProxy(t, startDatabase(t, echo), 8, 1)
@@ -219,7 +219,7 @@
 			in = in[n:]
 		}
 	}()
-	if types, _ := p.readMessages(len(welcomeTypes)); types != welcomeTypes {
+	if types, _ := p.readMessages(len(startupReplyTypes)); types != startupReplyTypes {
 		t.Fatalf("response to the startup message: %q", types)
 	}
 	for i := range queries {
@@ -247,8 +247,8 @@
 	p := dialProxy(t, s)
 	in := pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), strings.Replace(queryText("a"), "d=15000", "d=0", 1))
 	p.conn.Write(pg.AppendQuery(in, queryText("b")))
-	if types, bodies := p.readMessages(len(welcomeTypes) + 5); types != welcomeTypes+"EZDCZ" ||
-		!strings.Contains(bodies[6], "C"+pg.CodeTooMany) {
+	if types, bodies := p.readMessages(len(startupReplyTypes) + 5); types != startupReplyTypes+"EZDCZ" ||
+		!strings.Contains(bodies[6], "C"+pg.CodeTooManyConnections) {
 		t.Errorf("%q, %q", types, bodies)
 	}
 }
@@ -262,7 +262,7 @@
 		in := append(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), queryText("a")), invalid...)
 		p.conn.Write(append(in, bytes.Repeat([]byte("x"), 1000)...))
 		types, bodies := p.readMessages(99)
-		if types != welcomeTypes+"DCZE!" || !strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeProtocol) {
+		if types != startupReplyTypes+"DCZE!" || !strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeProtocolViolation) {
 			t.Errorf("after %q: %q, %q", invalid, types, bodies)
 		}
 	}
@@ -288,19 +288,19 @@
 		}
 		return p
 	}
-	silent := connectAndSend(start, welcomeTypes) // sends no query
-	oldest := connectAndSend(startAndQuery, welcomeTypes+"IZ")
-	second := connectAndSend(startAndQuery, welcomeTypes+"IZ")
-	third := connectAndSend(startAndQuery, welcomeTypes+"IZ")
+	silent := connectAndSend(start, startupReplyTypes) // sends no query
+	oldest := connectAndSend(startAndQuery, startupReplyTypes+"IZ")
+	second := connectAndSend(startAndQuery, startupReplyTypes+"IZ")
+	third := connectAndSend(startAndQuery, startupReplyTypes+"IZ")
 	connectAndSend(startAndQuery, "E!").conn.Close() // no client has been idle or silent for long enough
 	for s.listener.open.Load() > 4 {                 // it occupies a place until it has closed its side too
 	}
 	advance(s, silentTimeout)
-	connectAndSend(startAndQuery, welcomeTypes+"IZ")
+	connectAndSend(startAndQuery, startupReplyTypes+"IZ")
 	advance(s, idleTimeout)
 	second.conn.Write(pg.AppendQuery(nil, "")) // no longer idle
 	second.readMessages(2)
-	connectAndSend(startAndQuery, welcomeTypes+"IZ")
+	connectAndSend(startAndQuery, startupReplyTypes+"IZ")
 	for name, p := range map[string]*peer{"silent": silent, "oldest": oldest} {
 		if types, _ := p.readMessages(1); types != "!" {
 			t.Errorf("the %s client got %q, want the end of its connection", name, types)
@@ -313,9 +313,9 @@
 		}
 	}
 	advance(s, idleTimeout)
-	first := connectAndSend(start, welcomeTypes)
-	connectAndSend(start, welcomeTypes)
-	connectAndSend(start, welcomeTypes) // too many silent clients make room for others
+	first := connectAndSend(start, startupReplyTypes)
+	connectAndSend(start, startupReplyTypes)
+	connectAndSend(start, startupReplyTypes) // too many silent clients make room for others
 	if types, _ := first.readMessages(1); types != "!" {
 		t.Errorf("the first of too many silent clients got %q", types)
 	}
@@ -331,7 +331,7 @@
 	for range 3 {
 		p := dialProxy(t, s)
 		p.conn.Write(startAndQuery)
-		p.readMessages(len(welcomeTypes) + 2)
+		p.readMessages(len(startupReplyTypes) + 2)
 		connected = append(connected, p)
 	}
 	advance(s, idleTimeout)
@@ -358,7 +358,7 @@
 	startAndQuery := pg.AppendQuery(start, "")
 	waiting := dialProxy(t, s)
 	waiting.conn.Write(pg.AppendQuery(start, queryText("a")))
-	waiting.readMessages(len(welcomeTypes))
+	waiting.readMessages(len(startupReplyTypes))
 	<-received
 	var timedOut []*peer
 	for _, in := range [][]byte{{}, start[:9], start, startAndQuery[:len(startAndQuery)-1],
@@ -375,7 +375,7 @@
 	advance(s, queryTimeout)
 	for i, p := range timedOut {
 		if types, bodies := p.readMessages(99); !strings.HasSuffix(types, "E!") ||
-			!strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeProtocol) {
+			!strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeProtocolViolation) {
 			t.Errorf("client %d got %q", i, types)
 		}
 	}
@@ -391,19 +391,19 @@
 	first := dialProxy(t, s)
 	start := pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), "")
 	first.conn.Write(start)
-	if types, _ := first.readMessages(len(welcomeTypes) + 2); types != welcomeTypes+"IZ" {
+	if types, _ := first.readMessages(len(startupReplyTypes) + 2); types != startupReplyTypes+"IZ" {
 		t.Fatalf("the first client got %q", types)
 	}
 	second := dialProxy(t, s)
 	second.conn.Write(start)
-	if types, bodies := second.readMessages(99); types != "E!" || !strings.Contains(bodies[0], "C"+pg.CodeTooMany) {
+	if types, bodies := second.readMessages(99); types != "E!" || !strings.Contains(bodies[0], "C"+pg.CodeTooManyConnections) {
 		t.Errorf("the second client got %q", types)
 	}
 	first.conn.Close() // its place is free once the proxy has noticed
 	for {
 		p := dialProxy(t, s)
 		p.conn.Write(start)
-		if types, _ := p.readMessages(len(welcomeTypes)); types == welcomeTypes {
+		if types, _ := p.readMessages(len(startupReplyTypes)); types == startupReplyTypes {
 			break
 		}
 	}
@@ -415,14 +415,14 @@
 		"garbage": func(c stdnet.Conn, _ string) bool { c.Write([]byte("\x00\xff\xff\xff\xff nonsense")); return true },
 		"closes":  func(stdnet.Conn, string) bool { return false },
 		"no row": func(c stdnet.Conn, _ string) bool {
-			c.Write(pg.AppendReady([]byte("C\x00\x00\x00\x0dSELECT 1\x00")))
+			c.Write(pg.AppendReadyForQuery([]byte("C\x00\x00\x00\x0dSELECT 1\x00")))
 			return true
 		},
 	} {
 		s, dispatcher, loop := startProxy(t, startDatabase(t, answer), 8, 1)
 		p := dialProxy(t, s)
 		p.conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), queryText("a")))
-		if types, _ := p.readMessages(len(welcomeTypes) + 2); types != welcomeTypes+"EZ" {
+		if types, _ := p.readMessages(len(startupReplyTypes) + 2); types != startupReplyTypes+"EZ" {
 			t.Errorf("%s: the client got %q", name, types)
 		}
 		got := make(chan uint64)
@@ -452,7 +452,7 @@
 		}), 8, 1)
 		p := dialProxy(t, s)
 		p.conn.Write(pg.AppendStartup(nil, "client", "core"))
-		p.readMessages(len(welcomeTypes))
+		p.readMessages(len(startupReplyTypes))
 		for i := range 9 {
 			p.conn.Write(pg.AppendQuery(nil, queryText(fmt.Sprint(i))))
 			if types, bodies := p.readMessages(3); types != "DCZ" || !strings.Contains(bodies[0], fmt.Sprintf("'%d'", i)) {
@@ -477,7 +477,7 @@
 	<-received
 	second := dialProxy(t, s)
 	second.conn.Write(pg.AppendStartup(nil, "client", "core"))
-	second.readMessages(len(welcomeTypes))
+	second.readMessages(len(startupReplyTypes))
 	if types, _ := dialProxy(t, s).readMessages(1); types != "!" {
 		t.Errorf("a client too many got %q", types)
 	}
@@ -485,17 +485,17 @@
 	for {
 		p := dialProxy(t, s)
 		p.conn.Write(pg.AppendStartup(nil, "client", "core"))
-		if types, _ := p.readMessages(len(welcomeTypes)); types == welcomeTypes {
+		if types, _ := p.readMessages(len(startupReplyTypes)); types == startupReplyTypes {
 			second = p
 			break
 		}
 	}
 	second.conn.Write(pg.AppendQuery(nil, queryText("a")))
-	if types, bodies := second.readMessages(1); types != "E" || !strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeProtocol) {
+	if types, bodies := second.readMessages(1); types != "E" || !strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeProtocolViolation) {
 		t.Errorf("the second client got %q", types)
 	}
 	close(release)
-	if types, _ := first.readMessages(len(welcomeTypes) + 3); types != welcomeTypes+"DCZ" {
+	if types, _ := first.readMessages(len(startupReplyTypes) + 3); types != startupReplyTypes+"DCZ" {
 		t.Errorf("the first client got %q", types)
 	}
 	got := make(chan uint64)
@@ -516,7 +516,7 @@
 	p := dialProxy(t, s)
 	p.conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), queryText("a")))
 	<-started
-	if types, _ := p.readMessages(len(welcomeTypes) + 2); types != welcomeTypes+"EZ" {
+	if types, _ := p.readMessages(len(startupReplyTypes) + 2); types != startupReplyTypes+"EZ" {
 		t.Errorf("the client got %q", types)
 	}
 	got := make(chan uint64)
@@ -531,7 +531,7 @@
 	s, _, loop := startProxy(t, "127.0.0.1:1", 8, 1)
 	p := dialProxy(t, s)
 	p.conn.Write(pg.AppendStartup(nil, "client", "core"))
-	p.readMessages(len(welcomeTypes))
+	p.readMessages(len(startupReplyTypes))
 	for i := range 40 { // more than the limit on connections
 		p.conn.Write(pg.AppendQuery(nil, queryText(fmt.Sprint(i))))
 		p.readMessages(2)
@@ -574,7 +574,7 @@
 	p := dialProxy(t, s)
 	start := pg.AppendStartup(nil, "client", "core")
 	p.conn.Write(start)
-	p.readMessages(len(welcomeTypes))
+	p.readMessages(len(startupReplyTypes))
 	partial := pg.AppendQuery(nil, "")[:3]
 	drained := func() bool {
 		got := make(chan bool)
@@ -629,7 +629,7 @@
 	waitForClient(&first)
 	p := dialProxy(t, s)
 	p.conn.Write(pg.AppendStartup(nil, "client", "core"))
-	p.readMessages(len(welcomeTypes))
+	p.readMessages(len(startupReplyTypes))
 	waitForClient(&second)
 	done := make(chan struct{})
 	s.loop.Post(func() {
@@ -649,7 +649,7 @@
 	t.Helper()
 	p := dialProxy(t, s)
 	p.conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), queryText("a")))
-	if types, _ := p.readMessages(len(welcomeTypes) + 3); types != welcomeTypes+"DCZ" {
+	if types, _ := p.readMessages(len(startupReplyTypes) + 3); types != startupReplyTypes+"DCZ" {
 		t.Fatalf("the client got %q", types)
 	}
 	return p
@@ -711,8 +711,8 @@
 		buffered = <-got
 	}
 	second.conn.Write(append(start, partial...))
-	if types, bodies := second.readMessages(99); types != welcomeTypes+"E!" ||
-		!strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeTooMany) {
+	if types, bodies := second.readMessages(99); types != startupReplyTypes+"E!" ||
+		!strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeTooManyConnections) {
 		t.Errorf("the second client got %q", types)
 	}
 	first.conn.Close()
@@ -798,7 +798,7 @@
 	}
 	close(release)
 	for i, p := range peers {
-		if types, _ := p.readMessages(len(welcomeTypes) + 3); types != welcomeTypes+"DCZ" {
+		if types, _ := p.readMessages(len(startupReplyTypes) + 3); types != startupReplyTypes+"DCZ" {
 			t.Errorf("client %d got %s", i, types)
 		}
 	}
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -74,7 +74,7 @@
 		return err
 	}
 	slog.Info("started", "name", cfg.Name, "listen", p.server.Address(), "discovery", cfg.Discovery,
-		"databases", len(cfg.Known.Instances))
+		"databases", len(cfg.InitialList.Members))
 	go p.handleSignals(signals, path)
 	p.loop.Run()
 	if p.fatalErr != nil {
@@ -157,16 +157,16 @@
 	if err := p.server.Bind(cfg.Listen); err != nil {
 		return nil, err
 	}
-	p.discovery = net.NewDiscoveryClient(p.loop, p.clock, p.dispatcher, cfg.Discovery, cfg.Known.Generation,
+	p.discovery = net.NewDiscoveryClient(p.loop, p.clock, p.dispatcher, cfg.Discovery, cfg.InitialList.Generation,
 		deployment.Config.LocalAgent)
-	p.loop.Post(func() { p.startServing(net.ConvertList(cfg.Known)) })
+	p.loop.Post(func() { p.startServing(net.ConvertList(cfg.InitialList)) })
 	return p, nil
 }
 
 // startServing starts the router, and opens the listener when the first call to discovery has ended or maxListenDelay has
 // passed. The proxy is expected to know whatever discovery has from the moment its process starts, and the list in its
 // configuration may be out of date.
-func (p *proxy) startServing(known state.List) {
+func (p *proxy) startServing(initialList state.List) {
 	startedAt := p.clock.Now()
 	listen := func() {
 		p.dispatcher.Deadlines.Clear(&p.listenTimer)
@@ -183,7 +183,7 @@
 	}
 	p.discovery.OnFirstCallDone(listen)
 	p.dispatcher.Deadlines.Set(&p.listenTimer, startedAt+maxListenDelay, listen)
-	p.dispatcher.Start(p.discovery, known)
+	p.dispatcher.Start(p.discovery, initialList)
 	p.scheduleCounterLog()
 }
 
--- a/internal/run/run_test.go
+++ b/internal/run/run_test.go
@@ -48,7 +48,7 @@
 			return
 		}
 		defer conn.Close()
-		conn.Write(pg.AppendWelcome(nil))
+		conn.Write(pg.AppendStartupReply(nil))
 		chunk := make([]byte, 4096)
 		for got := []byte(nil); !bytes.Contains(got, []byte("SELECT val")); {
 			n, err := conn.Read(chunk)
@@ -59,7 +59,7 @@
 		}
 		close(received)
 		<-answer
-		conn.Write(pg.AppendReady([]byte("D\x00\x00\x00\x0b\x00\x01\x00\x00\x00\x01vC\x00\x00\x00\x0dSELECT 1\x00")))
+		conn.Write(pg.AppendReadyForQuery([]byte("D\x00\x00\x00\x0b\x00\x01\x00\x00\x00\x01vC\x00\x00\x00\x0dSELECT 1\x00")))
 		io.Copy(io.Discard, conn)
 	}()
 	return ln.Addr().String()
@@ -96,7 +96,7 @@
 		conn.SetDeadline(time.Now().Add(20 * time.Second))
 		return conn
 	}
-	emptyAnswer := pg.AppendEmpty(nil)
+	emptyAnswer := pg.AppendEmptyQueryResponse(nil)
 	startup := pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), "")
 	idle, busy := open(), open()
 	idle.Write(startup)
@@ -109,7 +109,7 @@
 	})
 	late := open()
 	late.Write(startup)
-	want := append(pg.AppendWelcome(nil), emptyAnswer...)
+	want := append(pg.AppendStartupReply(nil), emptyAnswer...)
 	clients := map[string]net.Conn{"idle": idle, "late": late}
 	expect := func(want []byte) {
 		for name, conn := range clients {
--- a/internal/state/benchmark_test.go
+++ b/internal/state/benchmark_test.go
@@ -33,11 +33,11 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	known := List{}
+	initialList := List{}
 	for i := range databases {
-		known.Entries = append(known.Entries, fleetMember(i, logic.Ready))
+		initialList.Entries = append(initialList.Entries, fleetMember(i, logic.Ready))
 	}
-	d.Start(noDiscovery{}, known)
+	d.Start(noDiscovery{}, initialList)
 	return d
 }
 
--- a/internal/state/dispatcher.go
+++ b/internal/state/dispatcher.go
@@ -139,10 +139,10 @@
 
 // Start delivers the first event to the router: the member list as this proxy last knew it. On this event the router
 // sets its timers.
-func (d *Dispatcher) Start(service Discovery, known List) {
+func (d *Dispatcher) Start(service Discovery, initialList List) {
 	d.discovery = service
-	known.Kind = logic.ListCached
-	d.ApplyList(known)
+	initialList.Kind = logic.ListCached
+	d.ApplyList(initialList)
 }
 
 // notifyRouter delivers an event to the router, after all earlier events. An event that results directly from an
--- a/internal/state/dispatcher_test.go
+++ b/internal/state/dispatcher_test.go
@@ -251,7 +251,7 @@
 }
 
 // A request that every database would reject fails at once, and the router is not told of a member's failure.
-func TestUnfitRequestFailsWithoutBlamingMember(t *testing.T) {
+func TestStatementErrorFailsWithoutBlamingMember(t *testing.T) {
 	h, c := newHarness(t, 9), &fakeResponder{}
 	h.submit(c)
 	h.conns[0].handler.Connected()
--- a/internal/wire/discovery/list.go
+++ b/internal/wire/discovery/list.go
@@ -5,28 +5,28 @@
 	"fmt"
 )
 
-// List is the whole list of databases (if Whole is set) or the changes since an earlier generation.
+// List is the whole list of databases (if Full is set) or the changes since an earlier generation.
 type List struct {
-	Generation int64      `json:"generation"`
-	Whole      bool       `json:"reset"`
-	Instances  []Instance `json:"instances"`
+	Generation int64    `json:"generation"` // version of the list; requests for changes refer to it
+	Full       bool     `json:"reset"`
+	Members    []Member `json:"instances"`
 }
 
-// Instance describes one database.
-type Instance struct {
+// Member describes one database.
+type Member struct {
 	ID        string  `json:"instanceId"`
 	Address   string  `json:"hostPort"`
 	Zone      string  `json:"zone"`
-	Group     int     `json:"cell"`
+	Group     int     `json:"cell"` // number of its replicated group
 	Lifecycle string  `json:"lifecycle"`
-	Weight    float64 `json:"weight"`
+	Weight    float64 `json:"weight"`      // relative capacity
 	StartedMs int64   `json:"startedAtMs"` // Unix milliseconds; 0 = long ago
 }
 
-// Values of Instance.Lifecycle.
+// Values of Member.Lifecycle.
 const (
 	InService   = "in_service"
-	Terminating = "terminating"
+	Terminating = "terminating" // draining: it takes no new requests
 	Terminated  = "terminated"
 )
 
@@ -37,7 +37,7 @@
 	if err := json.Unmarshal(data, &list); err != nil {
 		return list, fmt.Errorf("list of databases: %w", err)
 	}
-	for _, entry := range list.Instances {
+	for _, entry := range list.Members {
 		if entry.ID == "" {
 			return list, fmt.Errorf("list of databases: an entry has no instanceId")
 		}
--- a/internal/wire/discovery/url.go
+++ b/internal/wire/discovery/url.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// MaxBody is the maximum size of a response body, in bytes: enough for a list of several thousand databases.
-const MaxBody = 4 << 20
+// MaxResponseBytes is the maximum size of a response body, in bytes: enough for a list of several thousand databases.
+const MaxResponseBytes = 4 << 20
 
-// NoList is used as the generation while there is no list yet. Real generations start at 0.
-const NoList = -1
+// NoGeneration is used as the generation while there is no list yet. Real generations start at 0.
+const NoGeneration = -1
 
-// URL returns the URL that requests the whole list, if after is NoList, or else the changes since generation after,
-// for which the service waits up to the given time.
-func URL(host string, after int64, wait time.Duration) string {
+// EndpointsURL returns the URL that requests the whole list, if after is NoGeneration, or else the changes since
+// generation after, for which the service waits up to the given time.
+func EndpointsURL(host string, after int64, wait time.Duration) string {
 	url := "http://" + host + "/v1/endpoints"
-	if after == NoList {
+	if after == NoGeneration {
 		return url
 	}
 	return fmt.Sprintf("%s?after=%d&wait_ms=%d", url, after, wait.Milliseconds())
--- a/internal/wire/pg/message.go
+++ b/internal/wire/pg/message.go
@@ -39,14 +39,15 @@
 	typeNoticeResponse  = 'N'
 )
 
-// SQLSTATE codes that have a meaning to the proxy or its clients.
+// SQLSTATE codes that the proxy sends to clients or distinguishes in the errors of databases. The names are
+// PostgreSQL's.
 const (
-	CodeProtocol   = "08P01" // malformed input
-	CodeTooMany    = "53300" // refused before execution, safe to retry
-	CodeNotNow     = "57P03" // the server accepts no queries now; refused before execution, safe to retry
-	CodeReadOnly   = "25006" // a write was sent to a server that is not the primary
-	CodeTooFarBack = "72000" // the server's data is too old for the read
-	CodeFailed     = "58000" // the proxy got no answer from any database
+	CodeProtocolViolation   = "08P01" // malformed input
+	CodeTooManyConnections  = "53300" // refused before execution, safe to retry
+	CodeCannotConnectNow    = "57P03" // the server accepts no queries now; refused before execution, safe to retry
+	CodeReadOnlyTransaction = "25006" // a write was sent to a server that is not the primary
+	CodeSnapshotTooOld      = "72000" // the server's data is too old for the read
+	CodeSystemError         = "58000" // the proxy got no answer from any database
 )
 
 // ErrMalformed is returned for input that violates the protocol. Clients receive its text.
@@ -74,38 +75,38 @@
 	return Message{Type: buf[0], Body: buf[5:n], Raw: buf[:n]}, n, nil
 }
 
-// Opening is the kind of the first message on a client's connection.
-type Opening uint8
+// StartupKind is the kind of the first message on a client's connection.
+type StartupKind uint8
 
-// The kinds of first message: a startup message, a request for encryption and a cancel request.
+// The kinds of first message.
 const (
-	OpenSession Opening = iota
-	OpenEncrypted
-	OpenCancel
+	StartupSession    StartupKind = iota // the startup message, which opens a session
+	StartupEncryption                    // a request for encryption; the startup message follows the answer
+	StartupCancel                        // a cancel request; the connection carries nothing else
 )
 
-// NextOpening decodes a client's first message, which has no type byte, and returns its size in bytes, or 0 if the
+// NextStartup decodes a client's first message, which has no type byte, and returns its size in bytes, or 0 if the
 // message is still incomplete.
-func NextOpening(buf []byte) (o Opening, n int, err error) {
+func NextStartup(buf []byte) (kind StartupKind, n int, err error) {
 	if len(buf) < 4 {
-		return o, 0, nil
+		return kind, 0, nil
 	}
 	size := binary.BigEndian.Uint32(buf)
 	if size < 8 || size > maxStartupMessage {
-		return o, 0, ErrMalformed
+		return kind, 0, ErrMalformed
 	}
 	if len(buf) < int(size) {
-		return o, 0, nil
+		return kind, 0, nil
 	}
 	switch code := binary.BigEndian.Uint32(buf[4:]); {
 	case code == sslRequestCode || code == gssEncRequestCode:
-		o = OpenEncrypted
+		kind = StartupEncryption
 	case code == cancelRequestCode:
-		o = OpenCancel
+		kind = StartupCancel
 	case code>>16 != protocolVersion3>>16:
-		return o, 0, ErrMalformed
+		return kind, 0, ErrMalformed
 	}
-	return o, int(size), nil
+	return kind, int(size), nil
 }
 
 // QueryText returns the text of a Query message without its terminating zero byte.
@@ -149,12 +150,12 @@
 	return endMessage(appendCString(dst, text), at)
 }
 
-// AppendRefuseEncryption appends the answer to a request for encryption: the client may continue unencrypted.
-func AppendRefuseEncryption(dst []byte) []byte { return append(dst, 'N') }
+// AppendEncryptionRefusal appends the answer to a request for encryption: the client may continue unencrypted.
+func AppendEncryptionRefusal(dst []byte) []byte { return append(dst, 'N') }
 
-// AppendWelcome appends the answer to a client's startup message: AuthenticationOk, the server's parameters and
+// AppendStartupReply appends the answer to a client's startup message: AuthenticationOk, the server's parameters and
 // ReadyForQuery.
-func AppendWelcome(dst []byte) []byte {
+func AppendStartupReply(dst []byte) []byte {
 	dst, at := beginMessage(dst, typeAuthentication)
 	dst = endMessage(binary.BigEndian.AppendUint32(dst, 0), at)
 	for _, p := range [][2]string{{"server_version", "15.0"}, {"server_encoding", "UTF8"},
@@ -162,37 +163,38 @@
 		dst, at = beginMessage(dst, typeParameterStatus)
 		dst = endMessage(appendCString(appendCString(dst, p[0]), p[1]), at)
 	}
-	return AppendReady(dst)
+	return AppendReadyForQuery(dst)
 }
 
-// AppendReady appends ReadyForQuery: the client may send its next query.
-func AppendReady(dst []byte) []byte {
+// AppendReadyForQuery appends ReadyForQuery: the client may send its next query.
+func AppendReadyForQuery(dst []byte) []byte {
 	dst, at := beginMessage(dst, typeReadyForQuery)
 	return endMessage(append(dst, 'I'), at)
 }
 
-// AppendEmpty appends the answer to an empty query.
-func AppendEmpty(dst []byte) []byte {
+// AppendEmptyQueryResponse appends the answer to an empty query.
+func AppendEmptyQueryResponse(dst []byte) []byte {
 	dst, at := beginMessage(dst, typeEmptyQuery)
-	return AppendReady(endMessage(dst, at))
+	return AppendReadyForQuery(endMessage(dst, at))
 }
 
-// AppendServed appends body, the Body of a database's Reply, unchanged, followed by ReadyForQuery.
-func AppendServed(dst, body []byte) []byte { return AppendReady(append(dst, body...)) }
+// AppendResult appends the answer to a served request: body, which is the Body of a database's Reply, followed by
+// ReadyForQuery.
+func AppendResult(dst, body []byte) []byte { return AppendReadyForQuery(append(dst, body...)) }
 
-// AppendRefused appends the refusal of a request. A positive retryAfter is sent as the detail field, in
+// AppendRefusal appends the error that answers a refused request. A positive retryAfter is sent as the detail field, in
 // milliseconds; it is rounded up so that no client retries too early.
-func AppendRefused(dst []byte, retryAfter time.Duration) []byte {
+func AppendRefusal(dst []byte, retryAfter time.Duration) []byte {
 	detail := ""
 	if retryAfter > 0 {
 		detail = strconv.FormatInt(int64((retryAfter+time.Millisecond-1)/time.Millisecond), 10)
 	}
-	return AppendReady(appendError(dst, "ERROR", CodeTooMany, "no member can take this now", detail))
+	return AppendReadyForQuery(appendError(dst, "ERROR", CodeTooManyConnections, "no member can take this now", detail))
 }
 
-// AppendFailed appends the error for a failed request. It is unknown whether the request took effect.
-func AppendFailed(dst []byte) []byte {
-	return AppendReady(appendError(dst, "ERROR", CodeFailed, "no member answered in time", ""))
+// AppendFailure appends the error that answers a failed request. It is unknown whether the request took effect.
+func AppendFailure(dst []byte) []byte {
+	return AppendReadyForQuery(appendError(dst, "ERROR", CodeSystemError, "no member answered in time", ""))
 }
 
 // AppendFatal appends a fatal error, the last message before the connection is closed.
--- a/internal/wire/pg/pg_test.go
+++ b/internal/wire/pg/pg_test.go
@@ -78,7 +78,7 @@
 		opened, got := false, []string(nil)
 		err := feed(stream, anyPieceSizes.Draw(t, "piece sizes"), func(buf []byte) (int, error) {
 			if !opened {
-				_, n, err := NextOpening(buf)
+				_, n, err := NextStartup(buf)
 				opened = n > 0
 				return n, err
 			}
@@ -124,8 +124,8 @@
 		if rapid.Bool().Draw(t, "valid header") { // a valid header gets past the first checks of the parsers
 			garbage = message(rapid.SampledFrom([]byte("RSKZTDCIEN")).Draw(t, "type"), string(garbage))
 		}
-		if _, n, err := NextOpening(garbage); n > len(garbage) || n > 0 && err != nil {
-			t.Fatalf("opening: %d of %d bytes, error %v", n, len(garbage), err)
+		if _, n, err := NextStartup(garbage); n > len(garbage) || n > 0 && err != nil {
+			t.Fatalf("startup: %d of %d bytes, error %v", n, len(garbage), err)
 		}
 		var r Reply
 		feed(garbage, nil, func(buf []byte) (int, error) {
@@ -199,7 +199,7 @@
 
 // The retry delay of a refusal is rounded up and sent in the field D.
 func TestRefusalCarriesRetryDelay(t *testing.T) {
-	m, n, _ := Next(AppendRefused(nil, 1500*time.Microsecond))
+	m, n, _ := Next(AppendRefusal(nil, 1500*time.Microsecond))
 	if m.Type != 'E' || !bytes.Contains(m.Body, []byte("C53300\x00")) ||
 		!bytes.Contains(m.Body, []byte("\x00D2\x00")) || n == 0 {
 		t.Errorf("%q", m.Body)
--- a/internal/wire/pg/reply.go
+++ b/internal/wire/pg/reply.go
@@ -18,13 +18,13 @@
 	Code       string // SQLSTATE of the error; empty if there was none
 	Body       []byte // RowDescription, DataRow and CommandComplete, unchanged
 	Role       string // RolePrimary, RoleReplica or empty
-	Position   int64  // Unix milliseconds; 0 = not reported
+	Position   int64  // commits up to then are applied, Unix milliseconds; 0 = not reported
 	LoadReport string // load report; see ParseReport
 
 	row      []byte // value of the row; a slice of Body
 	rowCount int
-	complete bool
-	ready    bool
+	complete bool // CommandComplete has arrived
+	ready    bool // ReadyForQuery has arrived
 }
 
 // Reset clears the reply for the next query. It keeps the capacity of Body.
@@ -113,7 +113,7 @@
 // StatementError reports whether an SQLSTATE says that the statement itself is at fault: a protocol violation, bad data
 // (class 22) or bad syntax (class 42).
 func StatementError(code string) bool {
-	return code == CodeProtocol || strings.HasPrefix(code, "22") || strings.HasPrefix(code, "42")
+	return code == CodeProtocolViolation || strings.HasPrefix(code, "22") || strings.HasPrefix(code, "42")
 }
 
 // sqlState returns the SQLSTATE of an ErrorResponse, or an empty string if there is none.
@@ -134,7 +134,7 @@
 // LoadReport is a decoded load report.
 type LoadReport struct {
 	Present  bool    // the text had at least one numeric field
-	Position float64 // Unix seconds; 0 = not reported
+	Position float64 // as in Reply.Position, but in Unix seconds; 0 = not reported
 	Role     string  // as in Reply.Role
 	Queue    float64 // queued requests; negative = not reported
 }
--- a/internal/wire/pg/statement.go
+++ b/internal/wire/pg/statement.go
@@ -11,19 +11,20 @@
 // Statement is one request: its text and the fields of the routing comment at its end.
 type Statement struct {
 	Text        string
-	ID          string
-	Session     uint64 // derived from the statement's first quoted text; never 0
-	Class       string
+	ID          string        // chosen by the client, unique to the request
+	Session     uint64        // derived from the statement's first quoted text; never 0
+	Class       string        // name of the request class
 	Timeout     time.Duration // how long the client waits, from the time it sent the request
-	Group       int
-	TokenMillis int64 // time of the session's last commit, Unix milliseconds; 0 = none
-	Retry       bool  // the client marked the request as a repeat
+	Group       int           // number of the replicated group that holds the data
+	TokenMillis int64         // time of the session's last commit, Unix milliseconds; 0 = none
+	Retry       bool          // the client marked the request as a repeat
 
 	timeoutStart, timeoutEnd int // byte range of the value of d (Timeout) in Text
 }
 
-// ErrStatement is returned for a query without a valid routing comment or quoted key. Clients receive its text.
-var ErrStatement = errors.New("not a statement with a routing comment")
+// ErrInvalidStatement is returned for a query without a valid routing comment or quoted key. Clients receive its
+// text.
+var ErrInvalidStatement = errors.New("not a statement with a routing comment")
 
 // ParseStatement parses a statement such as
 //
@@ -34,11 +35,11 @@
 	s := Statement{Text: text}
 	commentStart, commentEnd := strings.LastIndex(text, "/*"), strings.LastIndex(text, "*/")
 	if commentStart < 0 || commentEnd < commentStart+2 || strings.Trim(text[commentEnd+2:], " \t\r\n;") != "" {
-		return s, ErrStatement
+		return s, ErrInvalidStatement
 	}
 	key, ok := firstQuoted(text[:commentStart])
 	if !ok {
-		return s, ErrStatement
+		return s, ErrInvalidStatement
 	}
 	s.Session = sessionFromKey(key)
 	hasGroup := false
@@ -56,7 +57,7 @@
 			ms, err = strconv.ParseInt(value, 10, 64)
 			// A client with less than a millisecond left sends 0; it must still get an answer.
 			if ms < 0 || ms > int64(24*time.Hour/time.Millisecond) {
-				return s, ErrStatement
+				return s, ErrInvalidStatement
 			}
 			s.Timeout = time.Duration(ms) * time.Millisecond
 			s.timeoutStart = start + strings.Index(text[start:end], value)
@@ -70,12 +71,12 @@
 			s.Retry = value == "1"
 		}
 		if err != nil {
-			return s, ErrStatement
+			return s, ErrInvalidStatement
 		}
 		start = end + 1
 	}
 	if s.ID == "" || s.Class == "" || s.timeoutEnd == 0 || !hasGroup {
-		return s, ErrStatement
+		return s, ErrInvalidStatement
 	}
 	return s, nil
 }
--- a/internal/wire/settings/config.go
+++ b/internal/wire/settings/config.go
@@ -10,13 +10,13 @@
 
 // Config is the configuration of one proxy.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	MemoryMB  int
-	Sockets   int
-	Known     discovery.List // the list of databases that this proxy last received; may be out of date
-	Settings  Settings
+	Name        string         // name of the proxy, for its log
+	Listen      string         // address to accept clients at
+	Discovery   string         // address of the discovery service
+	MemoryMB    int            // memory that the proxy may use, in MiB; 0 = no limit
+	Sockets     int            // limit on open sockets; 0 = the default
+	InitialList discovery.List // the list of databases that this proxy last received; may be out of date
+	Settings    Settings
 }
 
 // ParseConfig parses a proxy's configuration. The error says which field is wrong.
@@ -30,8 +30,8 @@
 			MemoryMB int `json:"memory_mb"`
 			Sockets  int `json:"sockets"`
 		} `json:"limits"`
-		Known    json.RawMessage `json:"known"`
-		Settings json.RawMessage `json:"settings"`
+		InitialList json.RawMessage `json:"known"`
+		Settings    json.RawMessage `json:"settings"`
 	}
 	if err := json.Unmarshal(data, &raw); err != nil {
 		return Config{}, fmt.Errorf("configuration: not usable JSON: %w", err)
@@ -47,8 +47,8 @@
 	if err != nil {
 		return c, fmt.Errorf("configuration: seed: %q is not a hexadecimal number", raw.Seed)
 	}
-	if c.Known.Generation = discovery.NoList; len(raw.Known) > 0 {
-		if c.Known, err = discovery.ParseList(raw.Known); err != nil {
+	if c.InitialList.Generation = discovery.NoGeneration; len(raw.InitialList) > 0 {
+		if c.InitialList, err = discovery.ParseList(raw.InitialList); err != nil {
 			return c, fmt.Errorf("configuration: known: %w", err)
 		}
 	}
--- a/internal/wire/settings/settings.go
+++ b/internal/wire/settings/settings.go
@@ -11,7 +11,7 @@
 	"havenproxy/logic"
 )
 
-// classJSON is an element of request_classes.
+// classJSON is an element of request_classes. It becomes a logic.Class, whose fields have the same names.
 type classJSON struct {
 	Name          string  `json:"name"`
 	TargetLatency float64 `json:"aim"`
@@ -23,21 +23,23 @@
 	Worth         float64 `json:"worth"`
 }
 
-// settingsJSON is the JSON form of the settings. Times are in microseconds.
+// settingsJSON is the JSON form of the settings. Times are in microseconds. Most fields become fields of logic.Config
+// with the same or similar names. FleetSize becomes Proxies, Discovery becomes ListOnRequest, and Domain.SessionMarks
+// becomes TokensCarried.
 type settingsJSON struct {
 	FleetSize int         `json:"fleet_size"`
 	Classes   []classJSON `json:"request_classes"`
 	Discovery string      `json:"discovery"`
 	Domain    struct {
-		Freshness    []string  `json:"freshness"`
+		Freshness    []string  `json:"freshness"` // per request class
 		ListRole     string    `json:"list_role"`
-		MaxAge       []float64 `json:"max_age"`
+		MaxAge       []float64 `json:"max_age"` // per request class, or empty
 		Origin       float64   `json:"origin_time"`
 		ServerChecks string    `json:"server_checks"`
 		SessionMarks string    `json:"session_marks"`
 	} `json:"domain"`
 	Limits struct {
-		ConnectTime         float64 `json:"connect_timeout"`
+		ConnectTimeout      float64 `json:"connect_timeout"`
 		DatabaseIdleTimeout float64 `json:"idle_close"`
 		MaxAttempts         int     `json:"max_attempts"`
 		MaxRetryAfter       float64 `json:"max_retry_after"`
@@ -49,7 +51,7 @@
 	OverQuotaWorth float64 `json:"over_share_worth"`
 	Reporting      struct {
 		Fields []string `json:"fields"`
-		How    string   `json:"how"`
+		How    string   `json:"how"` // not used
 	} `json:"reporting"`
 	Safety struct {
 		ColdDuration     float64 `json:"cold"`
@@ -62,7 +64,7 @@
 		Quota float64 `json:"quota_rps"`
 	} `json:"tenants"`
 	Tick float64 `json:"tick"`
-	Zone int     `json:"zone"`
+	Zone int     `json:"zone"` // index into Zones
 
 	Zones []string `json:"zones"`
 }
@@ -73,9 +75,9 @@
 	Origin time.Duration // the time that positions are relative to
 	Fields []string      // names of the values in a load report, in order
 
-	Zones               []string
+	Zones               []string      // zone names, indexed by zone number
 	DatabaseIdleTimeout time.Duration // the databases close connections that have been idle for so long; 0 = never
-	ConnectTimeout      time.Duration
+	ConnectTimeout      time.Duration // for a connection to a database; 0 = not set
 }
 
 // parseEnum returns the value that known has for a setting's text. An absent setting gives the zero value.
@@ -137,7 +139,8 @@
 		cfg.Tenants = append(cfg.Tenants, logic.Tenant{Name: t.Name, Quota: t.Quota})
 	}
 	return Settings{Config: cfg, Origin: micros(domain.Origin), Fields: raw.Reporting.Fields,
-		Zones: raw.Zones, DatabaseIdleTimeout: micros(limits.DatabaseIdleTimeout), ConnectTimeout: micros(limits.ConnectTime)}, nil
+		Zones: raw.Zones, DatabaseIdleTimeout: micros(limits.DatabaseIdleTimeout),
+		ConnectTimeout: micros(limits.ConnectTimeout)}, nil
 }
 
 // parseClass converts a request class. Its freshness comes from another list of the settings, domain.freshness.
--- a/internal/wire/settings/settings_test.go
+++ b/internal/wire/settings/settings_test.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c, err := ParseConfig(text); err != nil || len(c.Known.Instances) != 1 || len(c.Settings.Config.Classes) != 5 ||
+	if c, err := ParseConfig(text); err != nil || len(c.InitialList.Members) != 1 || len(c.Settings.Config.Classes) != 5 ||
 		c.Settings.DatabaseIdleTimeout != 30*time.Second || c.Settings.ConnectTimeout != 250*time.Millisecond {
 		t.Errorf("%+v, error %v", c, err)
 	}
@@ -64,7 +64,7 @@
 func TestParseConfig(t *testing.T) {
 	c, err := ParseConfig([]byte(config))
 	if err != nil || c.Settings.Config.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 ||
-		c.Known.Generation != discovery.NoList {
+		c.InitialList.Generation != discovery.NoGeneration {
 		t.Errorf("%+v, error %v", c, err)
 	}
 	for want, text := range map[string]string{
--- a/internal/wire/sim/frames.go
+++ b/internal/wire/sim/frames.go
@@ -17,7 +17,7 @@
 // Event codes.
 const (
 	codeDefineList    = 16 // defines a numbered member list, which codeMembers refers to
-	codeMemberList    = 17
+	codeMemberList    = 17 // an update of the member list, by the number of a defined list
 	codeTimer         = 18
 	codeInstanceStart = 19
 	codeProbeResult   = 20
@@ -26,7 +26,7 @@
 	codeRequest       = 23
 	codeAnswerStarted = 24
 	codeAbandoned     = 25
-	codeDatagram      = 26
+	codeDatagram      = 26 // bytes from another instance
 )
 
 // Action codes.
@@ -38,11 +38,11 @@
 	actionSetTimer  = 20
 	actionProbe     = 21
 	actionCloseIdle = 22
-	actionDatagram  = 23
+	actionDatagram  = 23 // send bytes to another instance
 	actionLog       = 24
-	actionAbort     = 25
-	actionWatch     = 26
-	actionFetch     = 27
+	actionAbort     = 25 // the instance can't continue
+	actionWatch     = 26 // start or stop watching the member list
+	actionFetch     = 27 // request the whole member list
 )
 
 // Sizes and limits. Sizes are in bytes.
@@ -59,24 +59,24 @@
 
 // The kinds of events that router instances receive.
 const (
-	Hello       Kind = iota // an instance starts; sets Seed and Settings
-	Retire                  // an instance stops
-	MemberList              // news of the member list; sets List
-	Submit                  // a client sent a request; sets Request
-	Head                    // a streamed answer has begun; sets ID and Attempt
-	Outcome                 // an attempt ended; sets Outcome
-	ProbeResult             // a probe ended; sets ProbeResult
-	Timer                   // a timer expired; sets Timer
-	Abandoned               // the client left; sets ID
-	Datagram                // bytes from another instance, which are not decoded
+	InstanceStarted Kind = iota // an instance starts; sets Seed and Settings
+	InstanceStopped             // an instance stops
+	MemberList                  // an update of the member list; sets List
+	RequestReceived             // a client sent a request; sets Request
+	AnswerHead                  // the first part of a streamed answer has arrived; sets ID and Attempt
+	Outcome                     // an attempt ended; sets Outcome
+	ProbeResult                 // a probe ended; sets ProbeResult
+	Timer                       // a timer expired; sets Timer
+	Abandoned                   // the client disconnected and expects no answer; sets ID
+	Datagram                    // bytes from another instance, which are not decoded
 )
 
 // Event is one decoded event. Apart from Kind and Instance, only the fields of its Kind are set.
 type Event struct {
 	Kind        Kind
-	Instance    uint32
-	Seed        uint64
-	Settings    []byte
+	Instance    uint32 // number of the router instance that receives the event
+	Seed        uint64 // for the router's random numbers
+	Settings    []byte // JSON; see settings.Parse
 	List        logic.List
 	Request     logic.Request
 	ID          logic.RequestID
@@ -86,8 +86,9 @@
 	Timer       logic.TimerID
 }
 
-// Scale holds the settings of an instance that are needed to decode positions and load reports.
-type Scale struct {
+// ReportFormat holds the settings of an instance that are needed to decode positions and load reports. The same values
+// are part of settings.Settings.
+type ReportFormat struct {
 	Origin time.Duration // the time that positions are relative to
 	Fields []string      // names of the values in a load report, in order
 }
@@ -96,7 +97,7 @@
 type Decoder struct {
 	reader *bufio.Reader
 	buf    []byte
-	lists  [maxLists][]logic.Member
+	lists  [maxLists][]logic.Member // the member lists by their numbers
 }
 
 // NewDecoder returns a Decoder that reads from reader.
@@ -183,9 +184,9 @@
 	return b.tail[offset:end], nil
 }
 
-// Each decodes the events of a batch in order and calls f for each. formatOf returns the Scale of an instance, or
-// false if the instance is unknown.
-func (d *Decoder) Each(b Batch, formatOf func(instance uint32) (Scale, bool), f func(Event) error) error {
+// Each decodes the events of a batch in order and calls f for each. formatOf returns the ReportFormat of an
+// instance, or false if the instance is unknown.
+func (d *Decoder) Each(b Batch, formatOf func(instance uint32) (ReportFormat, bool), f func(Event) error) error {
 	for i := 0; i < b.Count; i++ {
 		rec := record(b.body[i*eventRecordSize : (i+1)*eventRecordSize])
 		if rec.u8(0) == codeDefineList {
@@ -240,13 +241,13 @@
 var listKinds = [...]logic.ListKind{logic.ListDelta, logic.ListFull, logic.ListCached, logic.ListFailed}
 
 // decode decodes every event except codeDefineList.
-func (d *Decoder) decode(b Batch, rec record, format Scale, e *Event) (err error) {
+func (d *Decoder) decode(b Batch, rec record, format ReportFormat, e *Event) (err error) {
 	switch rec.u8(0) {
 	case codeInstanceStart:
-		e.Kind, e.Seed = Hello, rec.u64(5)
+		e.Kind, e.Seed = InstanceStarted, rec.u64(5)
 		e.Settings, err = b.tailSpan(rec.u32(13), rec.u32(17), 1)
 	case codeInstanceStop:
-		e.Kind = Retire
+		e.Kind = InstanceStopped
 	case codeMemberList:
 		e.Kind = MemberList
 		scope, number := rec.u8(5), rec.u8(10)
@@ -261,12 +262,12 @@
 			e.List.Entries = d.lists[number]
 		}
 	case codeRequest:
-		e.Kind = Submit
+		e.Kind = RequestReceived
 		e.Request = logic.Request{ID: logic.RequestID(rec.u64(5)), Class: int(rec.u16(13)),
 			Tenant: int(rec.u16(15)), Session: logic.SessionID(rec.u64(17)), Deadline: micros64(rec.u64(25)),
 			Group: logic.GroupID(rec.f32(37)), TokenAge: tokenAge(rec.f32(41)), Retry: rec.u8(45)&2 != 0}
 	case codeAnswerStarted:
-		e.Kind, e.ID, e.Attempt = Head, logic.RequestID(rec.u64(5)), int(rec.u8(13))
+		e.Kind, e.ID, e.Attempt = AnswerHead, logic.RequestID(rec.u64(5)), int(rec.u8(13))
 	case codeTimer:
 		e.Kind, e.Timer = Timer, logic.TimerID(rec.u64(5))
 	case codeProbeResult:
@@ -279,7 +280,7 @@
 		e.Outcome = logic.Outcome{Request: logic.RequestID(rec.u64(5)), Attempt: int(rec.u8(17)),
 			Member: rec.memberID(18), Took: rec.micros(24), Answered: rec.u8(28) != 0,
 			LoadReport: format.parseReport(rec, 31)}
-		e.Outcome.Role, e.Outcome.Position = format.note(rec.u32(13))
+		e.Outcome.Role, e.Outcome.Position = format.roleAndPosition(rec.u32(13))
 		e.Outcome.Result, err = parseResult(rec.u16(29))
 	case codeAbandoned:
 		e.Kind, e.ID = Abandoned, logic.RequestID(rec.u64(5))
@@ -328,11 +329,11 @@
 	return max(time.Duration(roundedDown), 1)
 }
 
-// note decodes the field with a member's role (the lowest two bits) and its position in milliseconds since Origin (the
-// other bits; 0 = not reported).
-func (format Scale) note(note uint32) (logic.Role, time.Duration) {
-	role := parseRole(note & 3)
-	if ms := note >> 2; ms != 0 {
+// roleAndPosition decodes the field with a member's role (the lowest two bits) and its position in milliseconds since
+// Origin (the other bits; 0 = not reported).
+func (format ReportFormat) roleAndPosition(field uint32) (logic.Role, time.Duration) {
+	role := parseRole(field & 3)
+	if ms := field >> 2; ms != 0 {
 		return role, format.Origin + time.Duration(ms)*time.Millisecond
 	}
 	return role, 0
@@ -351,7 +352,7 @@
 
 // parseReport decodes the load report at offset at: the number of values and up to four 32-bit floats. A position may
 // have been rounded up to a 32-bit float, so the next smaller float is used.
-func (format Scale) parseReport(rec record, at int) logic.Report {
+func (format ReportFormat) parseReport(rec record, at int) logic.Report {
 	out := logic.Report{Queue: -1}
 	n := int(rec.u8(at))
 	for i := 0; i < n && i < 4 && i < len(format.Fields); i++ {
@@ -374,7 +375,8 @@
 	return out
 }
 
-// Encoder collects the actions of one reply frame. It implements logic.Actions for one instance at a time.
+// Encoder collects the actions of one reply frame, the answer to one batch. It implements logic.Actions for one
+// instance at a time.
 type Encoder struct {
 	Instance uint32 // the instance that the next actions come from
 	records  []byte
@@ -451,23 +453,23 @@
 func (e *Encoder) Fetch() { e.addRecord(actionFetch) }
 
 // Log implements logic.Actions.
-func (e *Encoder) Log(text string) { e.text(actionLog, text) }
+func (e *Encoder) Log(text string) { e.addText(actionLog, text) }
 
-// GiveIn tells the simulator that this instance can't continue, and why.
-func (e *Encoder) GiveIn(text string) { e.text(actionAbort, text) }
+// Abort tells the simulator that this instance can't continue, and why.
+func (e *Encoder) Abort(text string) { e.addText(actionAbort, text) }
 
-// ShutIdle asks the simulator to close the instance's idle connections to a member.
-func (e *Encoder) ShutIdle(m logic.MemberID) { e.addRecord(actionCloseIdle).putMemberID(5, m) }
+// CloseIdle asks the simulator to close the instance's idle connections to a member.
+func (e *Encoder) CloseIdle(m logic.MemberID) { e.addRecord(actionCloseIdle).putMemberID(5, m) }
 
-// Share sends contents to the instance with the number target.
-func (e *Encoder) Share(target uint32, contents string) {
-	rec := e.text(actionDatagram, contents)
+// SendDatagram sends contents to the instance with the number target.
+func (e *Encoder) SendDatagram(target uint32, contents string) {
+	rec := e.addText(actionDatagram, contents)
 	copy(rec[9:17], rec[5:13])
 	rec.putU32(5, target)
 }
 
-// text appends an action that refers to a text, which it appends to the tail.
-func (e *Encoder) text(code uint8, text string) record {
+// addText appends an action with a text, which goes to the tail, and returns its record.
+func (e *Encoder) addText(code uint8, text string) record {
 	rec := e.addRecord(code)
 	rec.putU32(5, uint32(len(e.tail)))
 	rec.putU32(9, uint32(len(text)))
--- a/internal/wire/sim/sim_test.go
+++ b/internal/wire/sim/sim_test.go
@@ -40,7 +40,7 @@
 }
 
 // decodeAll decodes all frames of an input. The member lists are copied, since they are valid only in the callback.
-func decodeAll(in []byte, format Scale) (events []Event, err error) {
+func decodeAll(in []byte, format ReportFormat) (events []Event, err error) {
 	d := NewDecoder(bytes.NewReader(in))
 	for {
 		b, err := d.Next()
@@ -50,7 +50,7 @@
 		if err != nil {
 			return events, err
 		}
-		err = d.Each(b, func(uint32) (Scale, bool) { return format, true }, func(e Event) error {
+		err = d.Each(b, func(uint32) (ReportFormat, bool) { return format, true }, func(e Event) error {
 			e.List.Entries = append([]logic.Member(nil), e.List.Entries...)
 			events = append(events, e)
 			return nil
@@ -67,7 +67,7 @@
 		"12 03000000 4d00000000000000",
 		"19 05000000 192b6f0e71000b00",
 		"15 03000000 8e63000000000000 19000000 00 0a124a07 c32b 44480000 01 6400 00")
-	ev, err := decodeAll(in, Scale{Origin: time.Second})
+	ev, err := decodeAll(in, ReportFormat{Origin: time.Second})
 	if err != nil || len(ev) != 4 {
 		t.Fatalf("%d events, error %v", len(ev), err)
 	}
@@ -75,7 +75,7 @@
 	if ev[0].Instance != 3 || q.ID != 0xfd2a55d3a91c4 || q.Class != 1 || q.Tenant != 2 || q.Group != 11 || !q.Retry ||
 		q.Session != 0x91f03b7c55d20a64 || q.Deadline != 0x8405da*time.Microsecond ||
 		q.TokenAge > 412500*time.Microsecond || q.TokenAge < 412499*time.Microsecond {
-		t.Errorf("Submit: %+v", q)
+		t.Errorf("RequestReceived: %+v", q)
 	}
 	if ev[1].Kind != Timer || ev[1].Timer != 77 || ev[2].Kind != Abandoned || ev[2].ID != 0xb00710e6f2b19 {
 		t.Errorf("Timer %+v, Abandoned %+v", ev[1], ev[2])
@@ -97,7 +97,7 @@
 		"10 00 00000000 01000000", "11 03000000 02 29000000 00",
 		"10 00 1d000000 01000000", "11 04000000 01 29000000 00",
 		"11 03000000 03 00000000 09")
-	ev, err := decodeAll(in, Scale{})
+	ev, err := decodeAll(in, ReportFormat{})
 	if err != nil || len(ev) != 3 {
 		t.Fatalf("%d events, error %v", len(ev), err)
 	}
@@ -124,7 +124,7 @@
 	rec.putU32(18, math.Float32bits(x0))
 	rec.putU32(22, math.Float32bits(1))
 	rec.putU32(26, math.Float32bits(4))
-	format := Scale{Origin: time.Hour, Fields: []string{"x0", "x1", "queue"}}
+	format := ReportFormat{Origin: time.Hour, Fields: []string{"x0", "x1", "queue"}}
 	var e Event
 	if err := new(Decoder).decode(Batch{}, rec, format, &e); err != nil {
 		t.Fatal(err)
@@ -163,16 +163,16 @@
 		"list scope":     {frame(t, "", "11 03000000 07 29000000 00"), "scope 7"},
 		"unknown result": {frame(t, "", "14 03000000 0700"), "outcome code 7"},
 	} {
-		if _, err := decodeAll(c.in, Scale{}); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := decodeAll(c.in, ReportFormat{}); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: error %v, want one with %q", name, err, c.want)
 		}
 	}
-	if ev, err := decodeAll(frame(t, ""), Scale{}); err != nil || len(ev) != 0 {
+	if ev, err := decodeAll(frame(t, ""), ReportFormat{}); err != nil || len(ev) != 0 {
 		t.Errorf("empty batch: %d events, error %v", len(ev), err)
 	}
 	d := NewDecoder(bytes.NewReader(ok))
 	b, _ := d.Next()
-	none := func(uint32) (Scale, bool) { return Scale{}, false }
+	none := func(uint32) (ReportFormat, bool) { return ReportFormat{}, false }
 	if err := d.Each(b, none, nil); err == nil || !strings.Contains(err.Error(), "instance 3 is unknown") {
 		t.Errorf("unknown instance: %v", err)
 	}
@@ -192,9 +192,9 @@
 	e.Watch(true)
 	e.Watch(false)
 	e.Fetch()
-	e.ShutIdle(m)
-	e.Share(0xffffffff, "hi 7")
-	e.GiveIn("no")
+	e.CloseIdle(m)
+	e.SendDatagram(0xffffffff, "hi 7")
+	e.Abort("no")
 	want := unhex(t, actionRecordSize,
 		"10 03000000 c4913a5da5d20f00 0a124a07 c32b 80380100",
 		"14 03000000 4d00000000000000 7afd870000000000",
@@ -228,6 +228,6 @@
 	f.Add(frame(f, "", "14 03000000 6400 0a124a07c32b 00010000 04 0000c07f 0000807f 000080ff 00000080"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		// Decoding must not panic, and must not allocate memory for a false length.
-		decodeAll(in, Scale{Fields: []string{"x0", "x1", "queue"}})
+		decodeAll(in, ReportFormat{Fields: []string{"x0", "x1", "queue"}})
 	})
 }
--- a/logic/api.go
+++ b/logic/api.go
@@ -81,21 +81,21 @@
 
 // Class describes one class of request.
 type Class struct {
-	Name              string
+	Name              string // the router uses it only in error messages
 	RequiredFreshness Freshness
-	MaxAge            time.Duration // for FreshnessBounded
+	MaxAge            time.Duration // for FreshnessBounded: how old the data may be
 	TargetLatency     time.Duration // answers within it earn the full worth
 	ClientTimeout     time.Duration // how long the client waits, over all its retries
 	Effect            Effect
-	DedupScope        KeyScope
-	DedupWindow       time.Duration
-	Worth             float64 // value of an answer within TargetLatency, compared to other classes
-	Stream            bool    // the answer arrives in parts; see Events.AnswerStarted
+	DedupScope        KeyScope      // for EffectDeduplicated: which members recognize a duplicate
+	DedupWindow       time.Duration // for EffectDeduplicated: how long a member recognizes duplicates
+	Worth             float64       // value of an answer within TargetLatency, compared to other classes
+	Stream            bool          // the answer arrives in parts; see Events.AnswerStarted
 }
 
 // Tenant describes one tenant of the deployment.
 type Tenant struct {
-	Name  string
+	Name  string  // not used by the router
 	Quota float64 // requests per second over all proxies; 0 = no quota
 }
 
@@ -104,7 +104,7 @@
 type Config struct {
 	Seed    uint64 // for the router's own random numbers
 	Proxies int    // number of proxies that share the traffic
-	Zone    int    // zone of this proxy
+	Zone    int    // zone of this proxy; not used by the router
 
 	Classes        []Class
 	Tenants        []Tenant
@@ -113,17 +113,18 @@
 	Tick          time.Duration // the proxy delivers events at most once per tick
 	ListOnRequest bool          // the member list must be requested (Watch, Fetch); otherwise it is pushed
 	LocalAgent    bool          // a local agent serves the list from memory, so frequent calls cost nobody else
-	ListRole      ListRole
-	TokensCarried bool // requests carry their session's token; otherwise the router tracks commits
-	ServerChecks  ServerChecks
+	ListRole      ListRole      // whether the member list names the primary
+	TokensCarried bool          // requests carry their session's token; otherwise the router tracks commits
+	ServerChecks  ServerChecks  // what members do with a read that they are too far behind for
 
-	MayProbe          bool
-	MayCancel         bool
+	MayProbe          bool          // members answer probes
+	MayCancel         bool          // a pending attempt may be cancelled
 	ParallelAttempts  bool          // a request may have two attempts in flight at once
 	MaySendRetryAfter bool          // a refusal may carry a retry-after hint
 	MaxAttempts       int           // per request; 0 = no limit
 	MaxRetryAfter     time.Duration // longest retry-after hint that clients respect
 
+	// A member is cold after a restart: its capacity is reduced at first and grows until it is warm.
 	ColdDuration     time.Duration // a restarted member is warm after at most this time
 	ColdCapacity     float64       // least capacity of a cold member, as a fraction of its warm capacity
 	OverloadMultiple float64       // a cold member fails if it is sent more than this many times its capacity
@@ -160,7 +161,7 @@
 	Session  SessionID
 	Deadline time.Duration // when the client gives up waiting for this request
 	TokenAge time.Duration // with Config.TokensCarried: time since the session's last commit; 0 = none
-	Retry    bool          // the client marked it as a retry
+	Retry    bool          // the client marked it as a retry; not used by the router
 }
 
 // Result is how an attempt or a probe ended.
@@ -190,7 +191,7 @@
 	Attempt    int // 0 for the request's first Send, then 1, 2, ...
 	Member     MemberID
 	Result     Result
-	Took       time.Duration
+	Took       time.Duration // time from the Send to this result
 	Answered   bool          // the client has its final answer; the first OK always is one
 	Role       Role          // the member's role according to the answer
 	Position   time.Duration // all commits up to then are applied (rounded down); for an OK write: its commit
@@ -199,8 +200,8 @@
 
 // Report is what a member reports about itself; it may be slightly out of date.
 type Report struct {
-	Role     Role
-	Position time.Duration // 0 = unknown; a lower bound of the true position
+	Role     Role          // RoleUnknown = not reported
+	Position time.Duration // all commits up to then are applied; a lower bound; 0 = unknown
 	Queue    float64       // number of requests waiting; negative = unknown
 }
 
@@ -208,8 +209,8 @@
 type ProbeResult struct {
 	Member MemberID
 	Result Result
-	Took   time.Duration
-	Report Report
+	Took   time.Duration // round-trip time of the probe
+	Report Report        // valid only if Result is OK
 }
 
 // MemberState is a member's state according to the member list.
@@ -228,7 +229,7 @@
 	Zone      int
 	Group     GroupID
 	State     MemberState
-	Primary   bool
+	Primary   bool          // named as its group's primary; see ListRole
 	Weight    float64       // relative capacity according to the list; not used by the router
 	StartedAt time.Duration // when its process last started; 0 = long ago
 }
@@ -253,29 +254,30 @@
 // Events are the notifications that a proxy delivers to its router. Calls must not overlap, and now must
 // never decrease from one call to the next.
 type Events interface {
-	MemberList(now time.Duration, l List)
-	Request(now time.Duration, q Request)
+	MemberList(now time.Duration, l List) // the member list was received or updated, or a call failed
+	Request(now time.Duration, q Request) // a client sent a request
 	// AnswerStarted tells that the first part of a streamed answer has arrived.
 	AnswerStarted(now time.Duration, id RequestID, attempt int)
-	Outcome(now time.Duration, o Outcome)
-	ProbeResult(now time.Duration, p ProbeResult)
-	Timer(now time.Duration, id TimerID)
-	Abandoned(now time.Duration, id RequestID) // the client disconnected and expects no answer
+	Outcome(now time.Duration, o Outcome)         // an attempt ended
+	ProbeResult(now time.Duration, p ProbeResult) // a probe ended; every Probe is followed by one result
+	Timer(now time.Duration, id TimerID)          // a timer set with Actions.SetTimer expired
+	Abandoned(now time.Duration, id RequestID)    // the client disconnected and expects no answer
 }
 
 // Actions are the operations that a router requests from its proxy while it handles an event.
 type Actions interface {
-	// Send starts an attempt. The proxy must not send it after notAfter, when the known position of the
-	// member becomes too old for the request; 0 means no limit.
+	// Send starts an attempt. timeout is the time left until the request's deadline. The proxy must not
+	// send the request after notAfter, when the known position of the member becomes too old for it; 0
+	// means no limit.
 	Send(id RequestID, to MemberID, timeout, notAfter time.Duration)
-	Probe(to MemberID)
+	Probe(to MemberID) // asks a member for its load, role and position
 	// Refuse gives the final answer that the request failed and is safe to retry, preferably after
 	// retryAfter.
 	Refuse(id RequestID, retryAfter time.Duration, reason Refusal)
-	Fail(id RequestID) // gives the final answer that the request failed; it may have been executed
-	Cancel(id RequestID, attempt int)
-	SetTimer(id TimerID, at time.Duration)
-	Watch(on bool) // subscribe to changes of the member list, or stop
-	Fetch()        // request the whole member list once
-	Log(text string)
+	Fail(id RequestID)                     // gives the final answer that the request failed; it may have been executed
+	Cancel(id RequestID, attempt int)      // cancels a pending attempt; its Outcome still follows
+	SetTimer(id TimerID, at time.Duration) // delivers Events.Timer at the given time
+	Watch(on bool)                         // subscribes to changes of the member list, or unsubscribes
+	Fetch()                                // requests the whole member list once
+	Log(text string)                       // writes a line to the proxy's log
 }
--- a/logic/fifo_cache.go
+++ b/logic/fifo_cache.go
@@ -3,7 +3,7 @@
 // fifoCache is a map of limited size that evicts the key that was inserted first.
 type fifoCache[K comparable, V any] struct {
 	values         map[K]V
-	insertionOrder []K // ring buffer once it is full; its capacity is the limit
+	insertionOrder []K // keys, oldest first; a ring buffer once it is full; its capacity is the limit
 	oldest         int // index in insertionOrder of the next key to evict
 }
 
--- a/logic/state.go
+++ b/logic/state.go
@@ -12,25 +12,25 @@
 // Router chooses a member for each request of one proxy. It is not safe for concurrent use.
 type Router struct {
 	cfg   Config
-	proxy Actions
+	proxy Actions // executes the router's actions
 	rng   *rand.Rand
 
-	started             bool
-	admissionDraw       float64 // random number in [0, 1) for the current request; see atLimit
-	startedAt           time.Duration
+	started             bool          // the first event has arrived
+	admissionDraw       float64       // random number in [0, 1) for the current request; see atLimit
+	startedAt           time.Duration // when it arrived
 	lastTickAt          time.Duration
 	stalledAt           time.Duration        // the last tick that came late; see wasStalled
 	members             map[MemberID]*member // for lookups only: iteration order is random
 	groups              map[GroupID]*group   // for lookups only
 	orderedMembers      []*member            // all members, in the order in which they were first listed
 	hasUnlisted         bool                 // some members are no longer listed
-	active              []*group             // groups that a tick checks in a large fleet
+	active              []*group             // groups in use; in a large fleet, a tick checks only these
 	requests            map[RequestID]*request
 	waiting             []*request // requests that wait for probe results
 	pins                fifoCache[pinKey, pin]
-	commits             fifoCache[SessionID, time.Duration]
-	newestEvictedCommit time.Duration     // the newest commit evicted from commits
-	openWrites          map[SessionID]int // number of writes in flight, for sessions that have any
+	commits             fifoCache[SessionID, time.Duration] // the newest known commit of each session
+	newestEvictedCommit time.Duration                       // the newest commit evicted from commits
+	openWrites          map[SessionID]int                   // number of writes in flight, for sessions that have any
 
 	serviceTime       []time.Duration   // per class, estimated answer time without queueing
 	overdueAfter      []time.Duration   // per class, the time after which an answer is overdue
@@ -50,10 +50,10 @@
 // member is the router's view of one member.
 type member struct {
 	Member
-	listed   bool
+	listed   bool // the latest member list contains it
 	group    *group
 	role     Role
-	roleAt   time.Duration // as of when the role is known
+	roleAt   time.Duration // the time that the information about the role is from
 	position time.Duration // all commits up to then are applied; a lower bound that only grows
 
 	rtt               time.Duration // round-trip time of probes, moving average; 0 = never answered
@@ -72,10 +72,10 @@
 	reportedQueue       float64       // number of waiting requests in its last report
 	queueReportedAt     time.Duration
 	limitCutAt          time.Duration // when inFlightLimit was last reduced
-	limitReached        bool          // the limit has excluded the member since the limit last grew
+	limitReached        bool          // the limit has excluded the member from a choice since the limit last grew
 	failureRate         float64       // moving average: fraction of attempts that failed
 	ejectedUntil        time.Duration // as an outlier it gets no trial request before
-	coldSince           time.Duration // when it started, or returned from a long silence
+	coldSince           time.Duration // when its process started, or it answered again after a long silence
 	cold                bool          // it is warming up and has reduced capacity
 	coldBudget          float64       // while cold: work that may be sent, in seconds; never above zero
 	coldBudgetUpdatedAt time.Duration
@@ -84,7 +84,7 @@
 // group is the router's view of one replicated group.
 type group struct {
 	members        []*member
-	primary        *member
+	primary        *member // nil if no usable primary is known
 	lastPrimary    *member // the last known primary, kept while it is unresponsive
 	meanWork       float64 // moving average of the estimated service time per request, in seconds
 	meanLongWork   float64 // the part of meanWork that long reads cause; see isLongRead
