--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
 # Development tasks. `make check` must pass before every commit.
 
-POLICY    = logic/logic.go
+POLICY    = logic/router.go
 MAX_LINES = 950
 MAX_WIDTH = 110
 
--- a/logic/api.go
+++ b/logic/api.go
@@ -138,7 +138,7 @@
 const (
 	RefusedNoTime    Refusal = iota // too little time before the deadline, or no further attempt allowed
 	RefusedNoPrimary                // the class needs the primary, and no usable one is known
-	RefusedOverload                 // every member that may serve the request is at its limit
+	RefusedOverload                 // no member that may serve it has room, or no retry is allowed
 )
 
 // retryAfter returns how long the client should wait before it retries; 0 means no hint.
@@ -274,7 +274,8 @@
 	// Refuse gives the final answer that the request failed and is safe to retry, preferably after
 	// retryAfter.
 	Refuse(id RequestID, retryAfter time.Duration, reason Refusal)
-	Fail(id RequestID)                     // gives the final answer that the request failed; it may have been executed
+	// Fail gives the final answer that the request failed; it may have been executed.
+	Fail(id RequestID)
 	Cancel(id RequestID, attempt int)      // cancels a pending attempt; its Outcome still follows
 	SetTimer(id TimerID, at time.Duration) // delivers Events.Timer at the given time
 	Watch(on bool)                         // subscribes to changes of the member list, or unsubscribes
--- a/logic/invariants_test.go
+++ b/logic/invariants_test.go
@@ -67,14 +67,14 @@
 	due    time.Duration
 }
 
-func (w *simulation) reportViolation(rule string) {
-	if w.violation == "" {
-		w.violation = rule
+func (s *simulation) reportViolation(rule string) {
+	if s.violation == "" {
+		s.violation = rule
 	}
 }
 
-func (w *simulation) findMember(id MemberID) *simulatedMember {
-	for _, m := range w.members {
+func (s *simulation) findMember(id MemberID) *simulatedMember {
+	for _, m := range s.members {
 		if m.id == id {
 			return m
 		}
@@ -86,159 +86,159 @@
 }
 
 // advance lets time pass and moves the positions of the members.
-func (w *simulation) advance(d time.Duration) {
-	w.now += d
-	for _, m := range w.members {
+func (s *simulation) advance(d time.Duration) {
+	s.now += d
+	for _, m := range s.members {
 		if m.role == RolePrimary {
-			m.position = w.now
+			m.position = s.now
 		} else {
-			m.position = max(m.position, w.now-m.lag)
+			m.position = max(m.position, s.now-m.lag)
 		}
 	}
 }
 
-func (w *simulation) Send(id RequestID, to MemberID, _, _ time.Duration) {
-	q, m := w.submitted[id], w.findMember(to)
-	w.sends++
+func (s *simulation) Send(id RequestID, to MemberID, _, _ time.Duration) {
+	q, m := s.submitted[id], s.findMember(to)
+	s.sends++
 	switch {
 	case q == nil || m == nil:
-		w.reportViolation("unknown request or member")
+		s.reportViolation("unknown request or member")
 		return
 	case q.ended:
-		w.reportViolation("sent after the final answer")
+		s.reportViolation("sent after the final answer")
 	case m.group != q.Group:
-		w.reportViolation("sent outside the group")
-	case w.cfg.IgnoreListedGone && m.listedDraining, !w.cfg.IgnoreListedGone && m.state != Ready:
-		w.reportViolation("sent to a draining or gone member")
-	case len(q.attempts) >= w.cfg.MaxAttempts:
-		w.reportViolation("too many attempts")
+		s.reportViolation("sent outside the group")
+	case s.cfg.IgnoreListedGone && m.listedDraining, !s.cfg.IgnoreListedGone && m.state != Ready:
+		s.reportViolation("sent to a draining or gone member")
+	case len(q.attempts) >= s.cfg.MaxAttempts:
+		s.reportViolation("too many attempts")
 	}
 	for _, a := range q.attempts {
-		if a.pending && !w.cfg.ParallelAttempts {
-			w.reportViolation("two attempts at once")
+		if a.pending && !s.cfg.ParallelAttempts {
+			s.reportViolation("two attempts at once")
 		}
 		if q.class.Effect == EffectIdempotent || !a.pending && !a.maybeExecuted {
 			continue
 		}
-		if q.class.Effect == EffectNonIdempotent || w.now-a.sentAt > q.class.DedupWindow {
-			w.reportViolation("effect may occur twice")
+		if q.class.Effect == EffectNonIdempotent || s.now-a.sentAt > q.class.DedupWindow {
+			s.reportViolation("effect may occur twice")
 		}
 	}
-	if !m.believedPrimary && w.cfg.ServerChecks == ServerChecksNone {
+	if !m.believedPrimary && s.cfg.ServerChecks == ServerChecksNone {
 		switch q.class.RequiredFreshness {
 		case FreshnessBounded:
-			if m.position < w.now-q.class.MaxAge {
-				w.reportViolation("stale bounded read")
+			if m.position < s.now-q.class.MaxAge {
+				s.reportViolation("stale bounded read")
 			}
 		case FreshnessSession:
 			if m.position < q.token {
-				w.reportViolation("stale session read")
+				s.reportViolation("stale session read")
 			}
 		case FreshnessLatest:
-			w.reportViolation("fresh read at a replica")
+			s.reportViolation("fresh read at a replica")
 		}
 	}
-	q.attempts = append(q.attempts, simulatedAttempt{w.now, m, true, false})
-	due := min(w.now+time.Duration(w.rng.IntN(300))*ms, q.Deadline)
-	if m.unresponsive || w.rng.IntN(12) == 0 {
+	q.attempts = append(q.attempts, simulatedAttempt{s.now, m, true, false})
+	due := min(s.now+time.Duration(s.rng.IntN(300))*ms, q.Deadline)
+	if m.unresponsive || s.rng.IntN(12) == 0 {
 		due = q.Deadline
 	}
-	w.pending = append(w.pending, pendingAttempt{q, len(q.attempts) - 1, due})
+	s.pending = append(s.pending, pendingAttempt{q, len(q.attempts) - 1, due})
 }
 
-func (w *simulation) Probe(to MemberID) { w.probes = append(w.probes, to) }
+func (s *simulation) Probe(to MemberID) { s.probes = append(s.probes, to) }
 
-func (w *simulation) Refuse(id RequestID, _ time.Duration, _ Refusal) {
-	q := w.submitted[id]
+func (s *simulation) Refuse(id RequestID, _ time.Duration, _ Refusal) {
+	q := s.submitted[id]
 	for _, a := range q.attempts {
 		if q.class.Effect != EffectIdempotent && (a.pending || a.maybeExecuted) {
-			w.reportViolation("refused though it may have been executed")
+			s.reportViolation("refused though it may have been executed")
 		}
 	}
-	w.recordFinalAnswer(q)
+	s.recordFinalAnswer(q)
 }
-func (w *simulation) Fail(id RequestID) { w.recordFinalAnswer(w.submitted[id]) }
-func (w *simulation) recordFinalAnswer(q *simulatedRequest) {
+func (s *simulation) Fail(id RequestID) { s.recordFinalAnswer(s.submitted[id]) }
+func (s *simulation) recordFinalAnswer(q *simulatedRequest) {
 	q.finalAnswers++
 	q.ended = true
-	if q.finalAnswers > 1 || w.now > max(q.Deadline, w.stalledUntil)+answerGrace {
-		w.reportViolation("final answer late or twice")
+	if q.finalAnswers > 1 || s.now > max(q.Deadline, s.stalledUntil)+answerGrace {
+		s.reportViolation("final answer late or twice")
 	}
 }
-func (w *simulation) Cancel(RequestID, int)                {}
-func (w *simulation) SetTimer(_ TimerID, at time.Duration) { w.timers = append(w.timers, at) }
-func (w *simulation) Watch(bool)                           {}
-func (w *simulation) Fetch()                               {}
-func (w *simulation) Log(string)                           {}
+func (s *simulation) Cancel(RequestID, int)                {}
+func (s *simulation) SetTimer(_ TimerID, at time.Duration) { s.timers = append(s.timers, at) }
+func (s *simulation) Watch(bool)                           {}
+func (s *simulation) Fetch()                               {}
+func (s *simulation) Log(string)                           {}
 
 func newSimulation(t *testing.T, seed uint64) *simulation {
-	w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 1)), submitted: map[RequestID]*simulatedRequest{},
+	s := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 1)), submitted: map[RequestID]*simulatedRequest{},
 		now: 100 * time.Second}
-	w.cfg = testConfig()
-	w.cfg.Seed = seed
-	w.cfg.TokensCarried, w.cfg.ListOnRequest = w.rng.IntN(2) == 0, w.rng.IntN(2) == 0
-	w.cfg.ParallelAttempts, w.cfg.MayCancel = w.rng.IntN(4) > 0, w.rng.IntN(2) == 0
-	w.cfg.IgnoreListedGone, w.cfg.Proxies = w.rng.IntN(2) == 0, []int{0, 2, 40, 200, -3}[w.rng.IntN(5)]
-	w.cfg.ListRole, w.cfg.MaxAttempts = ListRole(w.rng.IntN(3)), 1+w.rng.IntN(8)
+	s.cfg = testConfig()
+	s.cfg.Seed = seed
+	s.cfg.TokensCarried, s.cfg.ListOnRequest = s.rng.IntN(2) == 0, s.rng.IntN(2) == 0
+	s.cfg.ParallelAttempts, s.cfg.MayCancel = s.rng.IntN(4) > 0, s.rng.IntN(2) == 0
+	s.cfg.IgnoreListedGone, s.cfg.Proxies = s.rng.IntN(2) == 0, []int{0, 2, 40, 200, -3}[s.rng.IntN(5)]
+	s.cfg.ListRole, s.cfg.MaxAttempts = ListRole(s.rng.IntN(3)), 1+s.rng.IntN(8)
 	for i := 0; i < 9; i++ {
 		m := &simulatedMember{id: MemberID(i + 1), group: GroupID(i / 5), role: RoleReplica, lag: 20 * ms,
 			state: Ready}
 		if i%5 == 0 {
 			m.role, m.believedPrimary = RolePrimary, true
 		}
-		w.members = append(w.members, m)
+		s.members = append(s.members, m)
 	}
-	w.advance(0)
-	router, err := New(w.cfg, w)
+	s.advance(0)
+	router, err := New(s.cfg, s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.router = router
-	w.sendList(ListCached)
-	return w
+	s.router = router
+	s.sendList(ListCached)
+	return s
 }
 
-func (w *simulation) sendList(kind ListKind) {
+func (s *simulation) sendList(kind ListKind) {
 	l := List{Kind: kind}
-	for _, m := range w.members {
+	for _, m := range s.members {
 		e := Member{ID: m.id, Group: m.group, State: m.state}
 		// In this simulation the list names the current primary or none.
-		e.Primary = w.cfg.ListRole != ListRoleNone && m.role == RolePrimary
+		e.Primary = s.cfg.ListRole != ListRoleNone && m.role == RolePrimary
 		m.listedDraining = m.state == Draining || m.listedDraining && m.state != Ready
 		if m.state != Gone || kind == ListDelta {
 			l.Entries = append(l.Entries, e)
 		}
 	}
-	if kind == ListFull && w.rng.IntN(3) == 0 { // one member that doesn't exist, and one listed twice
+	if kind == ListFull && s.rng.IntN(3) == 0 { // one member that doesn't exist, and one listed twice
 		l.Entries = append(l.Entries, Member{ID: 900, Group: 1, State: Ready}, l.Entries[0])
 	}
-	w.router.MemberList(w.now, l)
+	s.router.MemberList(s.now, l)
 }
 
 // injectFault causes replication lag, an unresponsive member, a drain, a change of primary, an empty list
 // or a stall of the proxy, or repairs a member.
-func (w *simulation) injectFault() {
-	m := w.members[w.rng.IntN(len(w.members))]
-	switch w.rng.IntN(8) {
+func (s *simulation) injectFault() {
+	m := s.members[s.rng.IntN(len(s.members))]
+	switch s.rng.IntN(8) {
 	case 6: // the list is empty though no member is gone; valid only with IgnoreListedGone
-		if w.cfg.IgnoreListedGone {
-			w.router.MemberList(w.now, List{Kind: ListFull})
+		if s.cfg.IgnoreListedGone {
+			s.router.MemberList(s.now, List{Kind: ListFull})
 		}
 	case 7:
-		w.advance(time.Duration(300+w.rng.IntN(1700)) * ms)
-		w.stalledUntil = w.now
+		s.advance(time.Duration(300+s.rng.IntN(1700)) * ms)
+		s.stalledUntil = s.now
 	case 0:
-		m.lag = time.Duration(w.rng.IntN(3000)) * ms
+		m.lag = time.Duration(s.rng.IntN(3000)) * ms
 	case 1:
 		m.unresponsive = !m.unresponsive
 	case 2:
-		m.state = MemberState(w.rng.IntN(3))
-		w.sendList(ListDelta)
+		m.state = MemberState(s.rng.IntN(3))
+		s.sendList(ListDelta)
 	case 3, 4:
 		m.lag, m.unresponsive, m.state = 15*ms, false, Ready
-		w.sendList(ListFull)
+		s.sendList(ListFull)
 	case 5:
-		for _, x := range w.members {
+		for _, x := range s.members {
 			if x.group == m.group && x.role == RolePrimary {
 				x.role = RoleReplica
 			}
@@ -248,46 +248,46 @@
 }
 
 // randomQueue returns a number of waiting requests as a member may report it, valid or not.
-func (w *simulation) randomQueue() float64 {
-	return []float64{-1, 0, 0, 0, 3, 1e300, math.NaN(), math.Inf(1)}[w.rng.IntN(8)]
+func (s *simulation) randomQueue() float64 {
+	return []float64{-1, 0, 0, 0, 3, 1e300, math.NaN(), math.Inf(1)}[s.rng.IntN(8)]
 }
 
-func (w *simulation) submit() {
-	w.nextID++
-	c := w.rng.IntN(len(w.cfg.Classes))
-	in := Request{ID: w.nextID, Class: c, Group: GroupID(w.rng.IntN(2)), Session: SessionID(1 + w.rng.IntN(6)),
-		Deadline: w.now + w.cfg.Classes[c].ClientTimeout*time.Duration(2+w.rng.IntN(99))/100}
-	q := &simulatedRequest{Request: in, class: w.cfg.Classes[c]}
-	if q.class.RequiredFreshness == FreshnessSession && w.cfg.TokensCarried && w.rng.IntN(3) > 0 {
-		q.TokenAge = time.Duration(1+w.rng.IntN(1500)) * ms
-		q.token = w.now - q.TokenAge
-	} else if q.class.RequiredFreshness == FreshnessSession && !w.cfg.TokensCarried {
-		q.token = w.lastCommits[in.Session]
+func (s *simulation) submit() {
+	s.nextID++
+	c := s.rng.IntN(len(s.cfg.Classes))
+	in := Request{ID: s.nextID, Class: c, Group: GroupID(s.rng.IntN(2)), Session: SessionID(1 + s.rng.IntN(6)),
+		Deadline: s.now + s.cfg.Classes[c].ClientTimeout*time.Duration(2+s.rng.IntN(99))/100}
+	q := &simulatedRequest{Request: in, class: s.cfg.Classes[c]}
+	if q.class.RequiredFreshness == FreshnessSession && s.cfg.TokensCarried && s.rng.IntN(3) > 0 {
+		q.TokenAge = time.Duration(1+s.rng.IntN(1500)) * ms
+		q.token = s.now - q.TokenAge
+	} else if q.class.RequiredFreshness == FreshnessSession && !s.cfg.TokensCarried {
+		q.token = s.lastCommits[in.Session]
 	}
-	w.submitted[q.ID] = q
-	w.router.Request(w.now, q.Request)
+	s.submitted[q.ID] = q
+	s.router.Request(s.now, q.Request)
 }
 
-func (w *simulation) endDueAttempts() {
+func (s *simulation) endDueAttempts() {
 	var remaining []pendingAttempt
-	due := w.pending
-	w.pending = nil
+	due := s.pending
+	s.pending = nil
 	for _, f := range due {
-		if f.due > w.now {
+		if f.due > s.now {
 			remaining = append(remaining, f)
 			continue
 		}
-		w.endAttempt(f)
+		s.endAttempt(f)
 	}
-	w.pending = append(w.pending, remaining...)
+	s.pending = append(s.pending, remaining...)
 }
 
-func (w *simulation) endAttempt(f pendingAttempt) {
+func (s *simulation) endAttempt(f pendingAttempt) {
 	q, a := f.q, &f.q.attempts[f.number]
 	m := a.target
-	o := Outcome{Request: q.ID, Attempt: f.number, Member: m.id, Took: w.now - a.sentAt}
-	switch k := w.rng.IntN(20); {
-	case w.now >= q.Deadline || m.unresponsive:
+	o := Outcome{Request: q.ID, Attempt: f.number, Member: m.id, Took: s.now - a.sentAt}
+	switch k := s.rng.IntN(20); {
+	case s.now >= q.Deadline || m.unresponsive:
 		o.Result = TimedOut
 	case q.class.RequiredFreshness == FreshnessWrite && m.role != RolePrimary:
 		o.Result = Miss
@@ -313,70 +313,73 @@
 		q.ended = true
 		q.finalAnswers++
 		if q.class.RequiredFreshness == FreshnessWrite {
-			o.Position = w.now
-			w.lastCommits[q.Session] = w.now
+			o.Position = s.now
+			s.lastCommits[q.Session] = s.now
 		}
 	}
 	o.Answered = q.ended
-	w.router.Outcome(w.now, o)
+	s.router.Outcome(s.now, o)
 }
 
-func (w *simulation) run(steps int) string {
-	w.lastCommits = map[SessionID]time.Duration{}
-	for i := 0; i < steps && w.violation == ""; i++ {
-		w.advance(time.Duration(1+w.rng.IntN(10)) * ms)
-		for len(w.timers) > 0 && w.timers[0] <= w.now {
-			w.timers = w.timers[1:]
-			w.router.Timer(w.now, tickTimer)
+func (s *simulation) run(steps int) string {
+	s.lastCommits = map[SessionID]time.Duration{}
+	for i := 0; i < steps && s.violation == ""; i++ {
+		s.advance(time.Duration(1+s.rng.IntN(10)) * ms)
+		for len(s.timers) > 0 && s.timers[0] <= s.now {
+			s.timers = s.timers[1:]
+			s.router.Timer(s.now, tickTimer)
 		}
-		pendingProbes := w.probes
-		w.probes = nil
+		pendingProbes := s.probes
+		s.probes = nil
 		for _, id := range pendingProbes {
-			m := w.findMember(id)
+			m := s.findMember(id)
 			p := ProbeResult{Member: id, Took: ms,
-				Report: Report{Role: m.role, Position: m.position, Queue: w.randomQueue()}}
+				Report: Report{Role: m.role, Position: m.position, Queue: s.randomQueue()}}
 			if m.unresponsive {
 				p = ProbeResult{Member: id, Result: TimedOut, Took: 250 * ms}
 			}
-			w.router.ProbeResult(w.now, p)
+			s.router.ProbeResult(s.now, p)
 		}
-		w.endDueAttempts()
-		if w.rng.IntN(40) == 0 {
-			w.injectFault()
+		s.endDueAttempts()
+		if s.rng.IntN(40) == 0 {
+			s.injectFault()
 		}
-		if w.rng.IntN(100) == 0 {
-			w.router.MemberList(w.now, List{Kind: ListFailed})
+		if s.rng.IntN(100) == 0 {
+			s.router.MemberList(s.now, List{Kind: ListFailed})
 		}
-		for n := w.rng.IntN(3); n > 0 && i < steps-1800; n-- {
-			w.submit()
+		for n := s.rng.IntN(3); n > 0 && i < steps-1800; n-- {
+			s.submit()
 		}
-		for _, q := range w.submitted {
-			if !q.ended && w.now > max(q.Deadline, w.stalledUntil)+answerGrace {
-				w.reportViolation("no final answer")
+		for _, q := range s.submitted {
+			if !q.ended && s.now > max(q.Deadline, s.stalledUntil)+answerGrace {
+				s.reportViolation("no final answer")
 			}
-			if q.ended && w.now > q.Deadline+time.Second {
-				delete(w.submitted, q.ID)
+			if q.ended && s.now > q.Deadline+time.Second {
+				delete(s.submitted, q.ID)
 			}
 		}
 	}
-	if w.violation == "" && len(w.router.requests) != 0 {
-		w.reportViolation("requests kept after all have ended")
+	if s.violation == "" && len(s.router.requests) != 0 {
+		s.reportViolation("requests kept after all have ended")
 	}
-	return w.violation
+	return s.violation
 }
 
+// Combinations of faults that no other test lists may break a rule: a stale read, an effect that occurs
+// twice, a send to a draining member, a final answer that is late, missing or given twice.
 func TestRulesHoldInRandomRuns(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
-		w := newSimulation(t, seed)
-		if violation := w.run(4000); violation != "" {
-			t.Errorf("seed %d: %s at %v", seed, violation, w.now)
+		s := newSimulation(t, seed)
+		if violation := s.run(4000); violation != "" {
+			t.Errorf("seed %d: %s at %v", seed, violation, s.now)
 		}
-		if w.sends < 250 {
-			t.Errorf("seed %d: only %d sends, too few to test anything", seed, w.sends)
+		if s.sends < 250 {
+			t.Errorf("seed %d: only %d sends, too few to test anything", seed, s.sends)
 		}
 	}
 }
 
+// FuzzRules checks the same rules as TestRulesHoldInRandomRuns with seeds from the fuzzer.
 func FuzzRules(f *testing.F) {
 	f.Add(uint64(1))
 	f.Fuzz(func(t *testing.T, seed uint64) {
@@ -386,47 +389,47 @@
 	})
 }
 
-// TestCheckerDetectsViolations tests the checks of the simulation themselves.
+// A check of the simulation that never reports anything would hide violations of its rule.
 func TestCheckerDetectsViolations(t *testing.T) {
-	for want, act := range map[string]func(w *simulation, q *simulatedRequest){
-		"sent after the final answer": func(w *simulation, q *simulatedRequest) {
+	for want, act := range map[string]func(s *simulation, q *simulatedRequest){
+		"sent after the final answer": func(s *simulation, q *simulatedRequest) {
 			q.ended = true
-			w.Send(q.ID, 1, 0, 0)
+			s.Send(q.ID, 1, 0, 0)
 		},
-		"sent to a draining or gone member": func(w *simulation, q *simulatedRequest) {
-			w.members[1].state = Draining
-			w.Send(q.ID, 2, 0, 0)
+		"sent to a draining or gone member": func(s *simulation, q *simulatedRequest) {
+			s.members[1].state = Draining
+			s.Send(q.ID, 2, 0, 0)
 		},
-		"sent outside the group": func(w *simulation, q *simulatedRequest) { w.Send(q.ID, 9, 0, 0) },
-		"effect may occur twice": func(w *simulation, q *simulatedRequest) {
+		"sent outside the group": func(s *simulation, q *simulatedRequest) { s.Send(q.ID, 9, 0, 0) },
+		"effect may occur twice": func(s *simulation, q *simulatedRequest) {
 			q.class.Effect = EffectNonIdempotent
-			w.cfg.ParallelAttempts = true
-			w.Send(q.ID, 1, 0, 0)
-			w.Send(q.ID, 1, 0, 0)
+			s.cfg.ParallelAttempts = true
+			s.Send(q.ID, 1, 0, 0)
+			s.Send(q.ID, 1, 0, 0)
 		},
-		"stale bounded read": func(w *simulation, q *simulatedRequest) {
-			w.members[1].position = w.now - time.Hour
+		"stale bounded read": func(s *simulation, q *simulatedRequest) {
+			s.members[1].position = s.now - time.Hour
 			q.class.RequiredFreshness, q.class.MaxAge = FreshnessBounded, time.Second
-			w.Send(q.ID, 2, 0, 0)
+			s.Send(q.ID, 2, 0, 0)
 		},
-		"stale session read": func(w *simulation, q *simulatedRequest) {
-			q.class.RequiredFreshness, q.token = FreshnessSession, w.now
-			w.Send(q.ID, 2, 0, 0)
+		"stale session read": func(s *simulation, q *simulatedRequest) {
+			q.class.RequiredFreshness, q.token = FreshnessSession, s.now
+			s.Send(q.ID, 2, 0, 0)
 		},
-		"final answer late or twice": func(w *simulation, q *simulatedRequest) { w.Fail(q.ID); w.Fail(q.ID) },
-		"refused though it may have been executed": func(w *simulation, q *simulatedRequest) {
+		"final answer late or twice": func(s *simulation, q *simulatedRequest) { s.Fail(q.ID); s.Fail(q.ID) },
+		"refused though it may have been executed": func(s *simulation, q *simulatedRequest) {
 			q.class.Effect = EffectDeduplicated
-			w.Send(q.ID, 1, 0, 0)
-			w.Refuse(q.ID, 0, RefusedNoTime)
+			s.Send(q.ID, 1, 0, 0)
+			s.Refuse(q.ID, 0, RefusedNoTime)
 		},
 	} {
-		w := newSimulation(t, 3)
-		q := &simulatedRequest{Request: Request{ID: 1, Group: 0, Deadline: w.now + time.Second},
+		s := newSimulation(t, 3)
+		q := &simulatedRequest{Request: Request{ID: 1, Group: 0, Deadline: s.now + time.Second},
 			class: Class{RequiredFreshness: FreshnessAny, ClientTimeout: time.Second}}
-		w.submitted[1] = q
-		w.cfg.MaxAttempts = 8
-		if act(w, q); w.violation != want {
-			t.Errorf("the checker reports %q, want %q", w.violation, want)
+		s.submitted[1] = q
+		s.cfg.MaxAttempts = 8
+		if act(s, q); s.violation != want {
+			t.Errorf("the checker reports %q, want %q", s.violation, want)
 		}
 	}
 }
--- a/logic/large_fleet_test.go
+++ b/logic/large_fleet_test.go
@@ -26,6 +26,8 @@
 	}
 }
 
+// Probing every member of a large fleet takes too much CPU time and too many connections. Only groups that
+// get requests are probed and checked.
 func TestLargeFleetIsProbedOnlyWhereUsed(t *testing.T) {
 	for _, proxies := range []int{2, 300} {
 		cfg := testConfig()
@@ -48,6 +50,8 @@
 	}
 }
 
+// The first request to a group finds no known role or position, because nothing has been probed. It must be
+// sent after the probes that it causes, and not be refused.
 func TestFirstRequestsInLargeFleetAreServed(t *testing.T) {
 	cfg := testConfig()
 	cfg.Proxies = 300
--- a/logic/many_proxies_test.go
+++ b/logic/many_proxies_test.go
@@ -31,7 +31,8 @@
 	return n
 }
 
-// Periodic probes of 170 proxies amounted to 7 to 11 per request. With two proxies probing stays periodic.
+// Periodic probes of 170 proxies with little traffic each amounted to 7 to 11 per request. With two proxies
+// probing stays periodic.
 func TestProbesOnDemandWithLowTraffic(t *testing.T) {
 	f := newSettledProxy(t, manyProxiesConfig(), 6)
 	requests := 0
@@ -44,9 +45,9 @@
 	if probes > 2*requests {
 		t.Errorf("%d probes for %d requests at one of many proxies", probes, requests)
 	}
-	few := newSettledProxy(t, testConfig(), 6)
-	probes = few.countProbes(30*time.Second, func() {
-		few.serve(few.submitAndAnswerProbes(classBounded), 5*ms)
+	ofTwo := newSettledProxy(t, testConfig(), 6)
+	probes = ofTwo.countProbes(30*time.Second, func() {
+		ofTwo.serve(ofTwo.submitAndAnswerProbes(classBounded), 5*ms)
 	})
 	if want := 30 * 4 * 5; probes < want { // five replicas, every quarter of 800 ms or slightly later
 		t.Errorf("%d probes at one of two proxies, want at least %d", probes, want)
@@ -60,7 +61,7 @@
 	return id
 }
 
-// A read that waits for probes must not wait for long if no member answers.
+// A read that waits for on-demand probes must not wait until its deadline if no replica answers them.
 func TestWaitingReadMovesOnIfProbesGoUnanswered(t *testing.T) {
 	f := newSettledProxy(t, manyProxiesConfig(), 3)
 	f.advance(2 * time.Second)
@@ -133,8 +134,8 @@
 	}
 }
 
-// When the list omitted all members though they were serving, every request was refused. If the list is
-// authoritative for gone members, that is still right.
+// When the list omitted all members, or listed them as gone, though they were serving, every request was
+// refused. If the list is authoritative for gone members, that is still right.
 func TestNonAuthoritativeListRemovesNoMembers(t *testing.T) {
 	var gone []Member
 	for id := MemberID(1); id <= 4; id++ {
@@ -165,7 +166,8 @@
 	}
 }
 
-// A member that a non-authoritative list omits is removed once it has been unresponsive for long.
+// With a list that is not authoritative for gone members, replaced members would be kept forever. A member
+// that it omits is removed once it has been unresponsive for long.
 func TestUnlistedUnresponsiveMembersAreForgotten(t *testing.T) {
 	cfg := testConfig()
 	cfg.IgnoreListedGone = true
@@ -184,8 +186,8 @@
 	}
 }
 
-// A fifth of all answers got lost though probes were answered, and reads ended at their deadlines. In
-// normal operation, with occasional slow answers, nothing is hedged, nor if all answers are late.
+// A fifth of all answers got lost though probes were answered, and reads ended at their deadlines. Such
+// reads are hedged. With occasional slow answers nothing is hedged, nor if all answers are late.
 func TestLostAnswersAreHedged(t *testing.T) {
 	countHedges := func(took func(i int) time.Duration) (number, refused int) {
 		f := newSettledProxy(t, testConfig(), 5)
@@ -245,19 +247,19 @@
 // queues. Answers that this proxy gets in time override the report.
 func TestReportedQueueExcludesMember(t *testing.T) {
 	f := newSettledProxy(t, testConfig(), 3)
-	report := func(m MemberID, reportedQueue float64) {
+	reportQueue := func(m MemberID, reportedQueue float64) {
 		f.router.members[m].probing = true
 		f.router.ProbeResult(f.now, ProbeResult{Member: m, Took: ms,
 			Report: Report{Role: RoleReplica, Position: f.now, Queue: reportedQueue}})
 	}
-	report(2, 5)
+	reportQueue(2, 5)
 	for i := 0; i < 30; i++ {
 		if s := f.serve(f.submit(classAny, 0), 0); s.to == 2 {
 			t.Fatal("a read went to a member with waiting requests while another had none")
 		}
 	}
 	f.now += ms
-	f.router.score(f.now, f.router.members[2], 500*ms, 0.1)
+	f.router.recordLatency(f.now, f.router.members[2], 500*ms, 0.1)
 	used := false
 	for i := 0; i < 30; i++ {
 		used = used || f.serve(f.submit(classAny, 0), 0).to == 2
@@ -265,8 +267,8 @@
 	if !used {
 		t.Error("a report still excludes a member that has answered in time since")
 	}
-	report(2, 5)
-	report(3, 5)
+	reportQueue(2, 5)
+	reportQueue(3, 5)
 	f.router.members[1].reportedQueue, f.router.members[1].queueReportedAt = 5, f.now
 	if id := f.submit(classAny, 0); f.sendCount(id) != 0 {
 		t.Error("a read was sent though every member reports waiting requests")
@@ -277,7 +279,8 @@
 	}
 }
 
-// After a stall the proxy handled its timer before the probe replies that had arrived meanwhile.
+// After a stall the proxy handled its timer before the probe replies that had arrived meanwhile, so all
+// probed members counted as unresponsive.
 func TestStallMarksNoMemberUnresponsive(t *testing.T) {
 	f := newSettledProxy(t, testConfig(), 3)
 	for len(f.probes) == 0 {
@@ -317,7 +320,7 @@
 	}
 }
 
-// Retry tokens were spent even if no member could be chosen.
+// Retry tokens were spent even if no member could be chosen, so that later requests had no retry.
 func TestRetryTokensAreSpentBySendsOnly(t *testing.T) {
 	f := newSettledProxy(t, testConfig(), 1) // only the primary, so that no retry is possible
 	before := f.router.retryTokens
@@ -366,13 +369,13 @@
 	f.end(f.mustBeSent(ids[0]), OK)
 	f.router.Timer(f.now, tickTimer)
 	f.end(f.mustBeSent(ids[1]), OK)
-	if m := f.router.members[1]; m.inFlightLimit != before || m.score != 0 {
-		t.Errorf("limit %v of %v and score %v after answers that waited in this proxy",
-			m.inFlightLimit, before, m.score)
+	if m := f.router.members[1]; m.inFlightLimit != before || m.latencyRatio != 0 {
+		t.Errorf("limit %v of %v and latency ratio %v after answers that waited in this proxy",
+			m.inFlightLimit, before, m.latencyRatio)
 	}
 	f.advance(600 * ms)
 	f.end(f.mustBeSent(ids[2]), OK)
-	if f.router.members[1].score == 0 {
+	if f.router.members[1].latencyRatio == 0 {
 		t.Error("a late answer without a stall doesn't count")
 	}
 }
--- a/logic/probing.go
+++ b/logic/probing.go
@@ -8,33 +8,41 @@
 )
 
 const (
-	baseProbeInterval = time.Second // between probes of a member in steady state
-	probesPerMaxAge   = 4           // while bounded reads arrive: least number of probes per smallest MaxAge
-	rttWeight         = 0.2         // of one sample in the moving average, which thus spans about ten probes
-	stallThreshold    = 100 * time.Millisecond
-	minTickInterval   = 10 * time.Millisecond  // resolution of probe timeouts, probing and waiting requests
-	startupWait       = 300 * time.Millisecond // for a new router's first probes, which take milliseconds
+	baseProbeInterval = time.Second // interval of periodic probes while no bounded reads arrive
+	// Probes of a replica per smallest MaxAge while bounded reads arrive; fewer if answers tell its position.
+	probesPerMaxAge = 4
+	rttWeight       = 0.2                    // weight of one probe in member.rtt, which spans about ten probes
+	stallThreshold  = 100 * time.Millisecond // time since the last tick from which this proxy has stalled
+	// Least interval of ticks: the resolution of probe timeouts, probing and waiting requests.
+	minTickInterval = 10 * time.Millisecond
+	startupWait     = 300 * time.Millisecond // longest wait for first probes, which take milliseconds
 
-	// Periodic probing of a group is replaced by probing on demand if it would exceed both of these limits.
+	// Periodic probing of a group is replaced by on-demand probing if it would exceed both of these limits,
+	// or in a large fleet the second one.
 	maxProbeRatePerMember = 20.0 // probes per second from all proxies; they take about 1% of a core
-	maxProbesPerRequest   = 2.0  // probes of the group by this proxy
+	maxProbesPerRequest   = 2.0  // probes of the group by this proxy, per request
 
-	backgroundProbesPerRequest = 0.05 // probes sent regularly while probing is on demand
-	requestRateWindow          = 10 * time.Second
-	probeWait                  = 25 * time.Millisecond // per round; a probe takes a few milliseconds
-	minProbeGap                = 100 * time.Millisecond
-	maxProbeRounds             = 2
-	unresponsiveProbeInterval  = 4 * time.Second // for an unresponsive member, while requests arrive
+	// Probes that a group gets regularly while probing is on demand, per request.
+	backgroundProbesPerRequest = 0.05
+	requestRateWindow          = 10 * time.Second       // time constant of the decaying counter of requests
+	probeWait                  = 25 * time.Millisecond  // wait per round of probes, which take milliseconds
+	minProbeGap                = 100 * time.Millisecond // least time from a member's last probe to one on demand
+	maxProbeRounds             = 2                      // rounds of on-demand probes per request
+	// Probe interval of an unresponsive member in a group with low traffic, while requests arrive.
+	unresponsiveProbeInterval = 4 * time.Second
 
-	// In a larger fleet only the groups in use are probed. Probing every member at the shortest interval
-	// would take more than 1% of a core, and more connections than a proxy may hold, as each member needs
-	// one.
+	// In a fleet of more members only the groups in use are probed. Probing every member at the shortest
+	// interval would take more than 1% of a core, and more connections than a proxy may hold, as each member
+	// needs one.
 	largeFleetSize = 32
 
-	// Probes bypass the request queue, so a longer delay points to the machine or the network, not to load.
-	probeReplyTimeout   = 80 * time.Millisecond
-	urgentProbeInterval = 150 * time.Millisecond // where an answer is overdue or the primary is unknown
-	restartSilence      = time.Second            // after that a member may have restarted, so it is cold
+	// A member that takes longer to answer a probe is unresponsive. Probes bypass the request queue, so a
+	// longer delay points to the machine or the network, not to load.
+	probeReplyTimeout = 80 * time.Millisecond
+	// Least silence of a member with a pending attempt before it is probed, and the probe interval while a
+	// group's primary is unknown.
+	urgentProbeInterval = 150 * time.Millisecond
+	restartSilence      = time.Second // a member unresponsive for longer may have restarted, and counts as cold
 )
 
 // ensureStarted starts the timer, and the list calls if the list is not pushed, at the router's first
@@ -44,19 +52,20 @@
 		return
 	}
 	r.started, r.startedAt = true, now
-	r.proxy.SetTimer(tickTimer, now+max(minTickInterval, r.cfg.Tick))
+	r.actions.SetTimer(tickTimer, now+max(minTickInterval, r.cfg.Tick))
 	if r.cfg.ListOnRequest {
 		r.callList(now)
 	}
 }
 
-// Timer runs the periodic work: list calls, probes, probe timeouts, hedging and waiting requests.
+// Timer runs the periodic work (a tick): list calls, probes, probe timeouts, hedged requests and waiting
+// requests. A tick that comes late after a stall of this proxy checks no member.
 func (r *Router) Timer(now time.Duration, id TimerID) {
 	r.ensureStarted(now)
 	if id != tickTimer {
 		return
 	}
-	r.proxy.SetTimer(tickTimer, now+max(minTickInterval, r.cfg.Tick))
+	r.actions.SetTimer(tickTimer, now+max(minTickInterval, r.cfg.Tick))
 	if r.listCallAt > 0 && now-r.listCallAt > listCallTimeout {
 		r.listCallEnded(now, ListFailed)
 	}
@@ -80,7 +89,8 @@
 // isLargeFleet tells whether only the groups in use are probed and checked.
 func (r *Router) isLargeFleet() bool { return len(r.orderedMembers) > largeFleetSize }
 
-// markActive makes each tick check a group for as long as it has traffic, or probes or attempts pending.
+// markActive makes each tick in a large fleet check a group for as long as it has traffic, or probes or
+// attempts pending.
 func (r *Router) markActive(g *group) {
 	if !g.active {
 		g.active = true
@@ -115,8 +125,8 @@
 	}
 	r.hedge(now, m)
 	sinceProbe := now - m.probedAt
-	// For a class whose answers usually take long, a probe per pending answer would cost more than it
-	// saves.
+	// For a class whose answers usually take long, the silence must be longer, because a probe per pending
+	// answer would cost more than it saves.
 	urgent := len(m.inFlight) > 0 && !m.unresponsive &&
 		now-max(m.lastReplyAt, m.inFlight[0].sentAt, m.probedAt) >
 			max(urgentProbeInterval, r.overdueAfter[m.inFlight[0].req.Class]/2)
@@ -142,16 +152,16 @@
 	}
 }
 
-// sendProbe probes a member unless a probe of it is pending.
+// sendProbe probes a member if it is ready, no probe of it is pending, and Config.MayProbe is set.
 func (r *Router) sendProbe(now time.Duration, m *member) {
 	if r.cfg.MayProbe && !m.probing && m.State == Ready {
 		m.probing, m.probedAt = true, now
 		r.markActive(m.group)
-		r.proxy.Probe(m.ID)
+		r.actions.Probe(m.ID)
 	}
 }
 
-// ProbeResult handles the result of a probe.
+// ProbeResult handles the result of a probe. Any answer shows that the member is responsive.
 func (r *Router) ProbeResult(now time.Duration, p ProbeResult) {
 	r.ensureStarted(now)
 	m := r.members[p.Member]
@@ -179,9 +189,9 @@
 	r.resumeWaiting(now)
 }
 
-// awaitsFirstProbes tells whether requests to a group must wait because the router is new and some
-// members have not answered their first probe. In a large fleet each request causes the probes that it
-// needs instead.
+// awaitsFirstProbes tells whether requests to a group must wait because the router is new and the group has
+// no members yet, or some have not answered their first probe. In a large fleet each request causes the
+// probes that it needs instead.
 func (r *Router) awaitsFirstProbes(now time.Duration, g *group) bool {
 	if now-r.startedAt >= startupWait || !r.cfg.MayProbe || r.isLargeFleet() {
 		return false
@@ -208,8 +218,8 @@
 	}
 }
 
-// isLowTraffic tells whether a group is probed on demand, because periodic probes would be too many for its
-// members and for the number of this proxy's requests.
+// isLowTraffic tells whether a group is probed on demand: periodic probes would be too many for the number of
+// this proxy's requests and, unless the fleet is large, also too many for the members.
 func (r *Router) isLowTraffic(now time.Duration, g *group) bool {
 	probeRate := 1 / r.probeInterval(now).Seconds()
 	tooManyProbes := r.isLargeFleet() || probeRate*float64(r.cfg.Proxies) > maxProbeRatePerMember
@@ -235,9 +245,10 @@
 	return baseProbeInterval
 }
 
-// probeAndWait probes randomly chosen members for a request that no member can serve as far as positions
-// and roles are known, and lets the request wait for the results. It does so only in groups with low
-// traffic, and tells whether the request waits.
+// probeAndWait sends on-demand probes for a request that no member can serve as far as positions and roles
+// are known, and lets the request wait for the results. It probes up to count members that pass the filter,
+// one more in the second round: the pinned replica or else the primary first, the others at random. It does
+// so only in groups with low traffic, and tells whether the request waits.
 func (r *Router) probeAndWait(now time.Duration, q *request, count int, filter func(*member) bool) bool {
 	if !r.cfg.MayProbe || !r.isLowTraffic(now, q.group) || now+probeWait+r.serviceTime[q.Class] >= q.Deadline {
 		return false
--- a/logic/logic.go
+++ b/logic/router.go
@@ -3,8 +3,10 @@
 // It follows "Driver Read Preferences": the request's class determines the freshness, the members of the
 // group are filtered by role and known log position, one is chosen at random among those whose round-trip
 // time is at most 15 ms above the lowest, and the reads of a session stay pinned to a replica. Further
-// mechanisms act only on failures or overload; their doc comments say when. The interface is in api.go,
-// the router's state in state.go.
+// mechanisms act only on failures, overload or low traffic: outlier ejection (isOutlier), retries within a
+// retry budget (mayRetry), hedged requests (hedge), an adaptive concurrency limit per member (recordLatency),
+// load shedding by worth (limitFraction), slow start of restarted members (withinColdBudget) and on-demand
+// probes (probeAndWait). The interface is in api.go, the router's state in state.go.
 package logic
 
 import (
@@ -16,65 +18,74 @@
 )
 
 const (
-	rttWindow             = 15 * time.Millisecond // largest excess of a candidate's RTT over the lowest
-	longReadDivisor       = 3                     // reads above the smallest MaxAge divided by this are long
-	maxAttemptsPerRequest = 3                     // the first attempt and up to two more
+	rttWindow             = 15 * time.Millisecond // largest difference of a candidate's RTT to the lowest
+	longReadDivisor       = 3                     // a read is long above the smallest MaxAge divided by this
+	maxAttemptsPerRequest = 3                     // the first attempt and up to two retries or hedges
 
-	// An answer counts as known to the client this long after the member wrote it, even if the proxy has
-	// not received it.
+	// The commit of a pending write counts as known to the client after this time, even if the proxy has
+	// received no answer.
 	commitKnownAfter = 100 * time.Millisecond
 
-	quotaWindow = time.Second // time constant of a tenant's request rate
-
-	failureWeight    = 0.2         // of one attempt in the moving average
-	failureThreshold = 0.35        // two or three consecutive failures exceed it
-	ejectionTime     = time.Second // until the first trial request
-
-	scoreWeightMin     = 0.1 // of an answer while answers are frequent
-	scoreWeightMax     = 0.5 // of an answer long after the previous one
-	scoreWeightTargets = 4.0 // the weight is the time since the previous answer over this many target latencies
-	scoreOverloaded    = 0.5 // above it many answers miss the target, as answer times are roughly exponential
-	scoreLate          = 2.0 // of an attempt without an answer in time
-
-	initialFleetLimit   = 36.0             // attempts of all proxies in flight at a member that is new
-	recoveredProxyLimit = 3.0              // of each proxy at least; a lower limit recovers to it with time
-	limitRecoveryTime   = 10 * time.Second // for each attempt by which a limit recovers
-	// The limits of all proxies together stay above this at an overloaded member, which shows its recovery.
+	quotaWindow = time.Second // time constant of the decaying counter of a tenant's requests
+
+	failureWeight    = 0.2         // weight of one attempt in member.failureRate; a tenth in Router.failureRate
+	failureThreshold = 0.35        // failure rate of an outlier; two or three consecutive failures exceed it
+	ejectionTime     = time.Second // time from an ejection to the first trial request
+
+	// The weight of a latency in member.latencyRatio is the time since the previous one, divided by a span of
+	// latencyRatioSpan target latencies, within the two bounds.
+	latencyRatioWeightMin = 0.1
+	latencyRatioWeightMax = 0.5
+	latencyRatioSpan      = 4.0
+	// Latency ratio above which a member counts as overloaded. As answer times are roughly exponential, many
+	// answers miss the target then.
+	latencyRatioOverloaded = 0.5
+	// Latency ratio recorded for an attempt without an answer in time, and the largest for any other.
+	latencyRatioLate = 2.0
+
+	initialFleetLimit   = 36.0             // initial in-flight limit of a member, as the total of all proxies
+	recoveredProxyLimit = 3.0              // in-flight limit per proxy to which a lower one recovers with time
+	limitRecoveryTime   = 10 * time.Second // time in which a recovering in-flight limit grows by one attempt
+	// Least in-flight limit, as the total of all proxies. The answers of an overloaded member to these attempts
+	// show when it has recovered.
 	minFleetLimit    = 2.0
-	limitCutInterval = 100 * time.Millisecond // lets the effect of one reduction show before the next
+	limitCutInterval = 100 * time.Millisecond // least time between reductions, so that each shows its effect
 
-	minLimitFraction    = 0.25 // of the limit, for the class that is worth least
-	busyQueueLength     = 1.0  // waiting requests; from there on the member has no free worker
-	queueReportMaxAge   = time.Second
-	primaryReadFraction = 0.7 // of the primary's limit, for reads; the rest is reserved for writes
+	minLimitFraction  = 0.25        // least fraction of a member's in-flight limit that a request may use
+	busyQueueLength   = 1.0         // number of waiting requests from which a member has no free worker
+	queueReportMaxAge = time.Second // older reports of waiting requests are ignored
+	// Fraction of the primary's in-flight limit for reads that prefer replicas. The rest is reserved for
+	// requests that only the primary may serve.
+	primaryReadFraction = 0.7
 
-	retryTokensPerRequest = 0.2  // caps retries at this fraction of requests in the long run
-	maxRetryTokens        = 30.0 // for a short burst of failures
+	retryTokensPerRequest = 0.2  // tokens that a request adds; caps retries at this fraction in the long run
+	maxRetryTokens        = 30.0 // size of the token bucket of retries, which allows a short burst
 
-	retryAfterNoPrimary = 500 * time.Millisecond // a failover takes seconds
-	retryAfterOverload  = 150 * time.Millisecond // an overload ends within a few service times
+	retryAfterNoPrimary = 500 * time.Millisecond // retry-after hint; a failover takes seconds
+	retryAfterOverload  = 150 * time.Millisecond // retry-after hint; an overload ends in a few service times
 
 	listRoleDelay           = 5 * time.Second  // assumed age of a role in the list, which is seconds late
-	forgetUnresponsiveAfter = 30 * time.Second // for an unlisted member, if the list is not authoritative
-
-	overloadMultipleFraction = 0.5     // of Config.OverloadMultiple, as a safety margin for cold members
-	workWeight               = 0.005   // of one request in the moving averages, which span hundreds
-	targetPerServiceTime     = 4       // assumed before the first answer: Class.TargetLatency / service time
-	serviceTimeQuantile      = 0.3     // of a class's answer times, as its service time without queueing
-	overdueQuantile          = 0.95    // of a class's answer times; a later answer is overdue
-	quantileStep             = 0.05    // relative step by which a quantile estimate moves
-	lostAnswerWeight         = 0.02    // of one attempt in Router.lostAnswerRate
-	lostAnswerThreshold      = 0.05    // in normal operation the rate stays far below
-	maxSessionEntries        = 1 << 15 // of pins, and of commits
+	forgetUnresponsiveAfter = 30 * time.Second // longest time an unlisted, unresponsive member is kept
+
+	overloadMultipleFraction = 0.5     // fraction of Config.OverloadMultiple used, as a safety margin
+	workWeight               = 0.005   // weight of one request in group.meanWork, which spans hundreds
+	targetPerServiceTime     = 4       // assumed Class.TargetLatency / service time before the first answer
+	serviceTimeQuantile      = 0.3     // quantile of a class's answer times: its service time without queueing
+	overdueQuantile          = 0.95    // quantile of a class's answer times; a later answer is overdue
+	quantileStep             = 0.05    // largest relative change of a quantile estimate per sample
+	lostAnswerWeight         = 0.02    // weight of one attempt in Router.lostAnswerRate
+	lostAnswerThreshold      = 0.05    // above it answers are being lost; normally the rate stays far below
+	maxSessionEntries        = 1 << 15 // capacity of Router.pins, and of Router.commits
 	tickTimer                = TimerID(1)
 )
 
-// New returns a router for one proxy. It takes no action before its first event.
-func New(cfg Config, actions Actions) (*Router, error) {
-	if err := validateConfig(&cfg, actions); err != nil {
+// New returns a router for one proxy, which executes its actions. The router takes no action before its
+// first event.
+func New(cfg Config, proxy Actions) (*Router, error) {
+	if err := validateConfig(&cfg, proxy); err != nil {
 		return nil, err
 	}
-	r := &Router{cfg: cfg, proxy: actions, rng: rand.New(rand.NewPCG(cfg.Seed, 0x9e3779b97f4a7c15)),
+	r := &Router{cfg: cfg, actions: proxy, rng: rand.New(rand.NewPCG(cfg.Seed, 0x9e3779b97f4a7c15)),
 		members: map[MemberID]*member{}, groups: map[GroupID]*group{},
 		requests: map[RequestID]*request{}, openWrites: map[SessionID]int{},
 		serviceTime: make([]time.Duration, len(cfg.Classes)), overdueAfter: make([]time.Duration, len(cfg.Classes)),
@@ -114,7 +125,7 @@
 	r.resumeWaiting(now)
 }
 
-// forgetUnlisted removes the members that are no longer listed, except those that are still in use.
+// forgetUnlisted removes the members that are no longer listed, except those that handleUnlisted keeps.
 func (r *Router) forgetUnlisted(now time.Duration) {
 	r.hasUnlisted = false
 	r.orderedMembers = slices.DeleteFunc(r.orderedMembers, func(m *member) bool {
@@ -157,7 +168,8 @@
 }
 
 // handleUnlisted marks an unlisted member as gone, if the list is authoritative for that. It removes the
-// member if nothing needs it any longer, and tells whether it did.
+// member from its group, and tells whether it did. It keeps a member with attempts or a probe pending, and a
+// ready one until it has been unresponsive for longer than forgetUnresponsiveAfter.
 func (r *Router) handleUnlisted(now time.Duration, m *member) bool {
 	if m.State != Gone && !r.cfg.IgnoreListedGone {
 		m.State = Gone
@@ -173,7 +185,7 @@
 }
 
 // updatePrimary determines the group's primary: the member with the newest primary role, if it is ready and
-// responsive. A change of primary invalidates all pins.
+// responsive. A change of primary invalidates all pins in the group.
 func (r *Router) updatePrimary(g *group) {
 	var newest *member
 	for _, m := range g.members {
@@ -189,7 +201,8 @@
 	}
 }
 
-// updateRoleAndPosition records a role and a position that a member had at the time at.
+// updateRoleAndPosition records the role that a member had at the time at, unless a newer one is known, and
+// a position that it has reached.
 func (r *Router) updateRoleAndPosition(m *member, role Role, position, at, now time.Duration) {
 	if position > 0 {
 		m.positionUpdatedAt = now
@@ -205,15 +218,15 @@
 	}
 }
 
-// recordReply records that a member answered. After a long silence it may have restarted, so it counts as
-// cold.
+// recordReply records that a member answered a probe or a request. After a long silence it may have
+// restarted, so it counts as cold and its in-flight limit starts afresh.
 func (r *Router) recordReply(m *member, now time.Duration) {
 	m.lastReplyAt = now
 	if m.unresponsive {
 		m.unresponsive = false
 		if now-m.unresponsiveSince > restartSilence {
 			m.coldSince, m.cold = now, true
-			m.inFlightLimit, m.score = r.proxyShare(initialFleetLimit), 0
+			m.inFlightLimit, m.latencyRatio = r.proxyShare(initialFleetLimit), 0
 		}
 		r.updatePrimary(m.group)
 	}
@@ -230,17 +243,18 @@
 	r.hedge(now, m)
 }
 
-// hedge sends a second attempt for each request that is pending at an unresponsive member. It does so too
-// for overdue requests if answers get lost, which means that many are missing though the others arrive in
-// time. Otherwise overdue answers point to overload, which more attempts would make worse. An attempt far
-// past its time counts as a failure, so that a member that answers nothing but probes is ejected.
+// hedge hedges requests: it sends another attempt, within the retry budget, for each request whose newest
+// attempt is pending at an unresponsive member. It does so too for overdue requests if answers get lost,
+// which means that many are missing though the others arrive in time. Otherwise overdue answers point to
+// overload, which more attempts would make worse. An attempt far past its time counts as a failure, so that
+// a member that answers nothing but probes is ejected.
 func (r *Router) hedge(now time.Duration, m *member) {
 	for _, a := range m.inFlight { // route may append to it, but removes nothing
 		q, age := a.req, now-a.sentAt
 		if !a.overdue && age > max(2*r.overdueAfter[q.Class], q.class.TargetLatency) {
 			a.overdue = true
 			r.updateFailureRate(now, m, 1)
-			if m.score < scoreOverloaded && !m.unresponsive {
+			if m.latencyRatio < latencyRatioOverloaded && !m.unresponsive {
 				r.lostAnswerRate += lostAnswerWeight * (1 - r.lostAnswerRate)
 			}
 		}
@@ -252,9 +266,10 @@
 	}
 }
 
-// losesAnswers tells whether a missing answer of the member is more likely lost than late.
+// losesAnswers tells whether a missing answer of the member is more likely lost than late: answers get lost
+// in general, and the member is not overloaded.
 func (r *Router) losesAnswers(m *member) bool {
-	return r.lostAnswerRate > lostAnswerThreshold && m.score < scoreOverloaded
+	return r.lostAnswerRate > lostAnswerThreshold && m.latencyRatio < latencyRatioOverloaded
 }
 
 // ---- Choice of a member ----
@@ -279,7 +294,7 @@
 }
 
 // usable tells whether the member may be sent requests: it is ready, responsive and not ejected as an
-// outlier.
+// outlier. An ejected member gets trial requests after the ejection time.
 func (r *Router) usable(m *member, now time.Duration) bool {
 	if m.State != Ready || m.unresponsive {
 		return false
@@ -290,8 +305,9 @@
 	return true
 }
 
-// atLimit tells whether the member's limit has no room for another attempt of this proxy. A fractional
-// rest of the limit admits a request with that probability.
+// atLimit tells whether the given fraction of the member's in-flight limit has no room for another attempt
+// of this proxy. If the remaining room is a fraction of an attempt, it is the probability of admission. A low
+// limit first recovers by the time that has passed.
 func (r *Router) atLimit(now time.Duration, m *member, fraction float64) bool {
 	if m.inFlightLimit < recoveredProxyLimit {
 		m.inFlightLimit = min(m.inFlightLimit+float64(now-m.limitUpdatedAt)/float64(limitRecoveryTime),
@@ -305,17 +321,17 @@
 }
 
 // overloaded tells whether the member has no room for a read: it is at its limit, or its last report
-// shows waiting requests, which is the only sign of the load from other proxies. Answers that have
-// arrived in time since the report override it.
+// shows waiting requests, which is the only sign of the load from other proxies. A report is overridden
+// by later latencies if the member's latency ratio is low.
 func (r *Router) overloaded(now time.Duration, m *member, fraction float64) bool {
 	queueing := m.reportedQueue >= busyQueueLength && now-m.queueReportedAt < queueReportMaxAge
-	return queueing && (m.scoredAt <= m.queueReportedAt || m.score >= scoreOverloaded) ||
+	return queueing && (m.lastLatencyAt <= m.queueReportedAt || m.latencyRatio >= latencyRatioOverloaded) ||
 		r.atLimit(now, m, fraction)
 }
 
-// limitFraction returns the fraction of a member's limit that the request may use. It decreases with the
-// ratio of worth to service time of the request's class, relative to the best class. Thus the least
-// valuable requests are shed first when limits are reached.
+// limitFraction returns the fraction of a member's in-flight limit that the request may use. It is the
+// square root of the request's worth per service time relative to the best class, and at least
+// minLimitFraction. Thus the least valuable requests are shed first when limits are reached.
 func (r *Router) limitFraction(q *request) float64 {
 	worth := func(i int) float64 { return r.cfg.Classes[i].Worth / max(r.serviceTime[i].Seconds(), 1e-6) }
 	own, best := worth(q.Class), 0.0
@@ -385,14 +401,14 @@
 	return nil, RefusedOverload
 }
 
-// isEligibleReplica tells whether the member is a usable replica that the request has not tried. It doesn't
-// consider the position and the load.
+// isEligibleReplica tells whether the member is usable, not known as a primary and not yet tried by the
+// request. It doesn't consider the position and the load.
 func (r *Router) isEligibleReplica(now time.Duration, q *request, m *member) bool {
 	return m.role != RolePrimary && r.usable(m, now) && !q.hasTried(m)
 }
 
-// pickReplica chooses at random among the replicas that pass the filter, have room and are within the RTT
-// window.
+// pickReplica chooses at random among the eligible replicas that pass the filter, have room, are within the
+// RTT window and within their cold budget. It returns nil if there is none.
 func (r *Router) pickReplica(
 	now time.Duration, q *request, fraction float64, filter func(*member) bool,
 ) *member {
@@ -413,7 +429,8 @@
 	return nil
 }
 
-// filterByRTT removes the members whose RTT is unknown or exceeds the lowest by more than rttWindow.
+// filterByRTT removes the members whose RTT is unknown or exceeds the lowest by more than rttWindow. If no
+// RTT is known, it keeps all.
 func (r *Router) filterByRTT(candidates []*member) []*member {
 	lowest := time.Duration(-1)
 	for _, m := range candidates {
@@ -434,9 +451,9 @@
 		r.serviceTime[q.Class] > r.minMaxAge/longReadDivisor
 }
 
-// longReadReplicas returns the replicas for long reads: those furthest behind, in proportion to the part
-// of the group's work that long reads cause. If these are overloaded, further long reads are refused,
-// because stalling one more replica costs more than the reads are worth.
+// longReadReplicas returns the warm replicas for long reads: those furthest behind, at least one, and
+// otherwise in proportion to the part of the group's work that long reads cause. If these are overloaded,
+// chooseMember refuses further long reads, because stalling one more replica costs more than they are worth.
 func (r *Router) longReadReplicas(now time.Duration, q *request) []*member {
 	var replicas []*member
 	for _, m := range q.group.members {
@@ -452,11 +469,11 @@
 
 // ---- Requests, attempts and outcomes ----
 
-// Request handles a new request: it is sent, waits for probes, or is answered at once.
+// Request handles a new request: it is sent, waits for probes, or is refused or failed at once.
 func (r *Router) Request(now time.Duration, in Request) {
 	r.ensureStarted(now)
 	if in.Class < 0 || in.Class >= len(r.cfg.Classes) || r.requests[in.ID] != nil {
-		r.proxy.Fail(in.ID)
+		r.actions.Fail(in.ID)
 		return
 	}
 	q := &request{Request: in, class: &r.cfg.Classes[in.Class], group: r.getOrCreateGroup(in.Group)}
@@ -496,9 +513,10 @@
 	return false
 }
 
-// sessionToken returns the commit that a session's read must see. For a session without a known commit
-// that is the newest evicted one. A pending write may have been committed and answered, and its answer
-// lost on the way; its commit counts as known after commitKnownAfter.
+// sessionToken returns the commit that a session's read must see. With Config.TokensCarried it comes from
+// the request, and 0 means none. Otherwise, for a session without a known commit, it is the newest evicted
+// one. A pending write may have been committed and answered, and its answer lost on the way; its commit
+// counts as known after commitKnownAfter.
 func (r *Router) sessionToken(now time.Duration, in *Request) time.Duration {
 	if r.cfg.TokensCarried {
 		if in.TokenAge > 0 {
@@ -516,14 +534,14 @@
 	return token
 }
 
-// routeOrFinish sends a request, or finishes it if it can neither be sent nor wait.
+// routeOrFinish sends a request, or finishes it if it can neither be sent nor wait and no attempt is pending.
 func (r *Router) routeOrFinish(now time.Duration, q *request) {
 	if ok, reason := r.route(now, q); !ok && !q.waiting && !q.pending() {
 		r.finish(q, reason)
 	}
 }
 
-// addWaiting lets a request wait for probe results or for the next tick.
+// addWaiting lets a request wait for probe results, the next tick or a member list.
 func (r *Router) addWaiting(q *request) {
 	if !q.waiting {
 		q.waiting = true
@@ -538,7 +556,8 @@
 	return m != nil && r.send(now, q, m), reason
 }
 
-// send is the only function that sends requests; it checks every rule a last time.
+// send starts an attempt at a member, and tells whether it did. As the only function that starts attempts,
+// it checks the time left, the group, the member's state, the request's effect and Config.MaxAttempts.
 func (r *Router) send(now time.Duration, q *request, m *member) bool {
 	// There is too little time left. Lowering the estimate makes sure that a class whose requests always
 	// have little time is tried again.
@@ -561,7 +580,7 @@
 	if r.tracksCommit(q) {
 		r.openWrites[q.Session]++
 	}
-	r.proxy.Send(q.ID, m.ID, q.Deadline-now, r.freshUntil(q, m))
+	r.actions.Send(q.ID, m.ID, q.Deadline-now, r.freshUntil(q, m))
 	return true
 }
 
@@ -577,7 +596,7 @@
 }
 
 // effectAllowsAttempt tells whether another attempt can't cause the request's effect twice. Pending
-// attempts count as possibly executed.
+// attempts count as possibly executed. It also enforces Config.ParallelAttempts.
 func (r *Router) effectAllowsAttempt(now time.Duration, q *request, m *member) bool {
 	if !r.cfg.ParallelAttempts && q.pending() {
 		return false
@@ -610,14 +629,15 @@
 		if !q.overQuota && q.Tenant >= 0 && q.Tenant < len(r.tenantUsage) {
 			r.tenantUsage[q.Tenant].value--
 		}
-		r.proxy.Refuse(q.ID, retryAfter, reason)
+		r.actions.Refuse(q.ID, retryAfter, reason)
 	} else {
-		r.proxy.Fail(q.ID)
+		r.actions.Fail(q.ID)
 	}
 	r.forgetOrCancel(q)
 }
 
-// forgetOrCancel removes a request that is done, or cancels the attempts that are still pending.
+// forgetOrCancel removes a request that is done. While attempts are pending it is kept, and they are
+// cancelled if Config.MayCancel is set.
 func (r *Router) forgetOrCancel(q *request) {
 	if !q.pending() {
 		delete(r.requests, q.ID)
@@ -626,7 +646,7 @@
 	for _, a := range q.attempts {
 		if a.pending && r.cfg.MayCancel && !a.cancelRequested {
 			a.cancelRequested = true
-			r.proxy.Cancel(q.ID, a.number)
+			r.actions.Cancel(q.ID, a.number)
 		}
 	}
 }
@@ -640,15 +660,15 @@
 	}
 }
 
-// Abandoned handles the disconnection of a request's client. Its pending attempts are scored as late,
-// because clients that leave early would otherwise hide an overload.
+// Abandoned handles the disconnection of a request's client. Its pending attempts are recorded as
+// late, because clients that leave early would otherwise hide an overload.
 func (r *Router) Abandoned(now time.Duration, id RequestID) {
 	r.ensureStarted(now)
 	if q := r.requests[id]; q != nil && !q.done {
 		q.done = true
 		for _, a := range q.attempts {
 			if a.pending {
-				r.score(now, a.target, q.class.TargetLatency, scoreLate)
+				r.recordLatency(now, a.target, q.class.TargetLatency, latencyRatioLate)
 			}
 		}
 		r.forgetOrCancel(q)
@@ -686,8 +706,9 @@
 	}
 }
 
-// mayRetry tells whether the request may have another attempt. Attempts are limited per request, by a
-// retry budget for all requests, so that retries don't aggravate an overload, and by the deadline.
+// mayRetry tells whether the request may have another attempt. Attempts are limited per request, by the
+// deadline, and by a retry budget for all requests, so that retries don't aggravate an overload. The budget
+// is a token bucket: each request adds a fraction of a token, and send takes one for a further attempt.
 func (r *Router) mayRetry(now time.Duration, q *request) bool {
 	return !q.done && len(q.attempts) < maxAttemptsPerRequest && r.retryTokens >= 1 &&
 		now+r.serviceTime[q.Class] < q.Deadline
@@ -726,7 +747,8 @@
 		took := now - a.sentAt
 		updateQuantile(&r.serviceTime[q.Class], took, serviceTimeQuantile)
 		updateQuantile(&r.overdueAfter[q.Class], took, overdueQuantile)
-		r.score(now, m, q.class.TargetLatency, min(float64(took)/float64(q.class.TargetLatency), scoreLate))
+		r.recordLatency(now, m, q.class.TargetLatency,
+			min(float64(took)/float64(q.class.TargetLatency), latencyRatioLate))
 		r.updateFailureRate(now, m, 0)
 		r.lostAnswerRate -= lostAnswerWeight * r.lostAnswerRate
 		if q.class.RequiredFreshness != FreshnessWrite && q.Session != 0 && m.role == RoleReplica {
@@ -734,11 +756,11 @@
 		}
 	case TimedOut:
 		if !r.losesAnswers(m) {
-			r.score(now, m, q.class.TargetLatency, scoreLate)
+			r.recordLatency(now, m, q.class.TargetLatency, latencyRatioLate)
 		}
 	case Failed, Full, ConnectFailed, Reset:
 		if r.updateFailureRate(now, m, 1); o.Result == Full {
-			r.score(now, m, q.class.TargetLatency, scoreLate)
+			r.recordLatency(now, m, q.class.TargetLatency, latencyRatioLate)
 		}
 		if o.Result == ConnectFailed {
 			r.sendProbe(now, m)
@@ -746,8 +768,8 @@
 	}
 }
 
-// updateFailureRate adds an attempt to the failure rates (1 = failed, 0 = not) and ejects the member if
-// it has become an outlier.
+// updateFailureRate adds an attempt to the failure rates (1 = failed, 0 = not), which are EWMAs. If the
+// member is an outlier, a failure ejects it, again after each failed trial request (outlier ejection).
 func (r *Router) updateFailureRate(now time.Duration, m *member, failed float64) {
 	m.failureRate += failureWeight * (failed - m.failureRate)
 	r.failureRate += failureWeight / 10 * (failed - r.failureRate)
@@ -756,8 +778,8 @@
 	}
 }
 
-// isOutlier tells whether the member fails more often than all members do on average. A bad network or a
-// broken release makes all members fail alike.
+// isOutlier tells whether the member's failure rate exceeds failureThreshold plus twice the mean rate of all
+// members. A bad network or a broken release makes all members fail alike, and ejects none.
 func (r *Router) isOutlier(m *member) bool { return m.failureRate > failureThreshold+2*r.failureRate }
 
 // tracksCommit tells whether the router must track the request's commit for later reads of its session.
@@ -765,7 +787,8 @@
 	return q.class.RequiredFreshness == FreshnessWrite && q.Session != 0 && !r.cfg.TokensCarried
 }
 
-// recordCommit records the newest commit of a session.
+// recordCommit records a commit of a session, if it is the newest. If the commit is 0 (unknown), it is
+// taken to be as late as now.
 func (r *Router) recordCommit(session SessionID, commit, now time.Duration) {
 	previous, _ := r.commits.get(session)
 	evicted, _ := r.commits.put(session, max(previous, cmp.Or(commit, now)))
@@ -774,7 +797,8 @@
 
 // ---- Overload and cold members ----
 
-// updateQuantile moves an estimate of a quantile one step towards a sample.
+// updateQuantile moves an estimate of a quantile one step towards a sample. The sizes of steps up and down
+// are such that the estimate settles where that fraction of the samples lies below it.
 func updateQuantile(estimate *time.Duration, sample time.Duration, quantile float64) {
 	if sample <= *estimate {
 		quantile--
@@ -782,23 +806,25 @@
 	*estimate += time.Duration(quantile * quantileStep * float64(*estimate))
 }
 
-// score adds the ratio of an answer time to its target latency to the member's score, and adapts the
-// member's limit to the score. This protects against overload, and against members that answer probes fast
-// but requests slowly.
-func (r *Router) score(now time.Duration, m *member, target time.Duration, ratio float64) {
+// recordLatency adds the ratio of an answer time to its target latency to member.latencyRatio, an EWMA, and
+// adapts member.inFlightLimit, an adaptive concurrency limit: while the average is high, the limit is reduced
+// by a fraction, at most once per limitCutInterval; while it is low and the limit is in use, the limit grows.
+// This protects against overload, and against members that answer probes fast but requests slowly. A latency
+// that a stall of this proxy may have caused is ignored.
+func (r *Router) recordLatency(now time.Duration, m *member, target time.Duration, ratio float64) {
 	if r.wasStalled(now) {
 		return
 	}
-	weight := min(max(float64(now-m.scoredAt)/(scoreWeightTargets*float64(target)), scoreWeightMin),
-		scoreWeightMax)
-	m.scoredAt = now
-	m.score += weight * (ratio - m.score)
+	weight := min(max(float64(now-m.lastLatencyAt)/(latencyRatioSpan*float64(target)), latencyRatioWeightMin),
+		latencyRatioWeightMax)
+	m.lastLatencyAt = now
+	m.latencyRatio += weight * (ratio - m.latencyRatio)
 	inFlight := float64(len(m.inFlight) + 1)
 	switch {
-	case m.score > scoreOverloaded && now-m.limitCutAt >= limitCutInterval:
+	case m.latencyRatio > latencyRatioOverloaded && now-m.limitCutAt >= limitCutInterval:
 		m.inFlightLimit = max(r.proxyShare(minFleetLimit), min(m.inFlightLimit, inFlight)*(1-weight))
 		m.limitCutAt = now
-	case m.score <= scoreOverloaded && (m.limitReached || inFlight >= m.inFlightLimit/2):
+	case m.latencyRatio <= latencyRatioOverloaded && (m.limitReached || inFlight >= m.inFlightLimit/2):
 		m.inFlightLimit += min(2/max(m.inFlightLimit, 1), m.inFlightLimit)
 		m.limitReached = false
 	}
@@ -807,10 +833,11 @@
 // proxyShare returns this proxy's share of a total for all proxies.
 func (r *Router) proxyShare(total float64) float64 { return total / float64(max(r.cfg.Proxies, 1)) }
 
-// withinColdBudget tells whether a cold member's budget allows another request. The budget prevents an
-// overload after a restart: it is refilled with the member's fraction of warm capacity, times this
-// proxy's work per member of the group, times half of Config.OverloadMultiple. It starts with a random debt
-// and never exceeds zero, so that the total of all proxies is bounded.
+// withinColdBudget implements slow start: it tells whether a cold member's budget allows another request. A
+// warm member is not limited by it. The budget prevents an overload after a restart: it is refilled with
+// the member's fraction of warm capacity, times this proxy's work per member of the group, times half of
+// Config.OverloadMultiple (at least 1), and send takes the request's estimated service time from it. It
+// starts with a random debt and never exceeds zero, so that the total of all proxies is bounded.
 func (r *Router) withinColdBudget(now time.Duration, m *member) bool {
 	if m.cold = m.cold && now-m.coldSince < r.cfg.ColdDuration; !m.cold {
 		return true
--- a/logic/router_test.go
+++ b/logic/router_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// An invalid configuration must be rejected at the start, with an error that names the field.
 func TestNewNamesInvalidField(t *testing.T) {
 	for want, invalidate := range map[string]func(*Config){
 		"Config.Classes is empty":             func(c *Config) { c.Classes = nil },
@@ -24,6 +25,8 @@
 	}
 }
 
+// Reads that replicas may serve would load the primary, and writes or latest reads at a replica would fail
+// or be stale.
 func TestPrimaryOrReplicaByClass(t *testing.T) {
 	f := newSettledProxy(t, testConfig(), 4)
 	for i := 0; i < 40; i++ {
@@ -41,6 +44,7 @@
 	}
 }
 
+// Reads must be spread evenly over the replicas within the RTT window, and a distant one must get none.
 func TestRTTWindow(t *testing.T) {
 	f := newFakeProxy(t, testConfig())
 	f.updateList(ListCached, 4)
@@ -62,6 +66,8 @@
 	}
 }
 
+// The reads of a session would see older data than before if they changed replicas. After a change of primary
+// the pins are void.
 func TestPinsHoldUntilPrimaryChanges(t *testing.T) {
 	f := newSettledProxy(t, testConfig(), 6)
 	first := f.serve(f.submit(classSession, 5), 10*ms).to
@@ -87,6 +93,8 @@
 	}
 }
 
+// A session's read would miss the session's own write at a replica that is behind. It goes to the primary
+// until replicas report later positions.
 func TestSessionReadSeesItsWrites(t *testing.T) {
 	f := newSettledProxy(t, testConfig(), 3)
 	write := f.mustBeSent(f.submit(classDeduplicated, 9))
@@ -159,6 +167,7 @@
 	}
 }
 
+// A session whose commit was evicted from the full cache would read stale data if it counted as having none.
 func TestEvictedCommitsBecomeLowerBound(t *testing.T) {
 	f := newSettledProxy(t, testConfig(), 2)
 	for i := 0; i <= maxSessionEntries; i++ {
@@ -172,6 +181,8 @@
 	}
 }
 
+// With carried tokens, a read must see the commit that its request names, and must not go to the primary
+// if replicas have that commit.
 func TestCarriedToken(t *testing.T) {
 	cfg := testConfig()
 	cfg.TokensCarried = true
@@ -190,6 +201,8 @@
 	}
 }
 
+// A write without a known primary would wait until its deadline, or go to a replica. It is refused with a
+// retry-after hint.
 func TestWriteIsRefusedWithoutKnownPrimary(t *testing.T) {
 	f := newFakeProxy(t, testConfig())
 	f.updateList(ListCached, 3)
@@ -203,6 +216,8 @@
 	}
 }
 
+// A new router knows no role and no position. Requests that arrive before the first probes are answered must
+// wait, and not be refused or misrouted.
 func TestNewRouterWaitsForFirstProbes(t *testing.T) {
 	f := newFakeProxy(t, testConfig())
 	f.updateList(ListCached, 3)
@@ -217,6 +232,8 @@
 	f.mustBeSent(read)
 }
 
+// After a failover the old primary rejects writes because it is a replica. It would get every further write
+// until its next probe.
 func TestMissOnWriteDemotesPrimary(t *testing.T) {
 	f := newSettledProxy(t, testConfig(), 3)
 	s := f.mustBeSent(f.submit(classNonIdempotent, 1))
@@ -231,12 +248,14 @@
 	}
 }
 
+// A retry may execute a request twice if the first attempt may have been executed. Whether there is a retry,
+// and whether the final answer is refused or failed, depends on effect and result.
 func TestRetriesByEffectAndResult(t *testing.T) {
 	for _, c := range []struct {
-		class int
-		res   Result
-		sends int
-		final string
+		class  int
+		result Result
+		sends  int
+		final  string
 	}{
 		{classNonIdempotent, TimedOut, 1, "failed"},
 		{classNonIdempotent, Failed, 1, "failed"},
@@ -248,15 +267,16 @@
 		id := f.submit(c.class, 1)
 		for i := 0; i < 5 && f.finalAnswers[id] == ""; i++ {
 			f.now += 5 * ms
-			f.end(f.mustBeSent(id), c.res)
+			f.end(f.mustBeSent(id), c.result)
 		}
 		if f.finalAnswers[id] != c.final || f.sendCount(id) != c.sends {
 			t.Errorf("class %d after %d: %d sends and %q, want %d and %q",
-				c.class, c.res, f.sendCount(id), f.finalAnswers[id], c.sends, c.final)
+				c.class, c.result, f.sendCount(id), f.finalAnswers[id], c.sends, c.final)
 		}
 	}
 }
 
+// After the dedup window a member no longer recognizes a duplicate, and a retry may cause the effect twice.
 func TestNoDeduplicatedRetryAfterDedupWindow(t *testing.T) {
 	f := newSettledProxy(t, testConfig(), 3)
 	id := f.submit(classDeduplicated, 1)
@@ -268,8 +288,8 @@
 	f.wantFinalAnswer(id, "failed")
 }
 
-// A member with pending attempts that doesn't answer a probe gets no more requests, and its reads are
-// sent elsewhere.
+// Reads at a member that stopped answering would end at their deadlines. If it doesn't answer a probe
+// either, it gets no more requests, and its pending reads are sent elsewhere too (hedged requests).
 func TestReadsMoveFromUnresponsiveMember(t *testing.T) {
 	f := newSettledProxy(t, testConfig(), 4)
 	var stuck []RequestID
@@ -316,6 +336,7 @@
 	}
 }
 
+// Writes to a primary that doesn't answer probes would time out, and could not be retried then.
 func TestWritesAreRefusedIfPrimaryIsUnresponsive(t *testing.T) {
 	f := newSettledProxy(t, testConfig(), 3)
 	f.advance(1500*ms, 1)
@@ -326,7 +347,8 @@
 	}
 }
 
-// A member whose attempts fail quickly is ejected, and then gets one trial request at a time.
+// A member whose attempts fail quickly never looks busy, and would keep its share of the requests. As an
+// outlier it is ejected, and then gets one trial request at a time.
 func TestFastFailingMemberIsEjected(t *testing.T) {
 	f := newSettledProxy(t, testConfig(), 4)
 	sends := 0
@@ -347,7 +369,8 @@
 	}
 }
 
-// A member that answers probes fast but requests late gets fewer requests; the others get the rest.
+// A member that answers probes fast but requests late looks healthy to probes. Its adaptive concurrency
+// limit must shrink, so that the others get most of the requests.
 func TestSlowMemberGetsFewerRequests(t *testing.T) {
 	f := newSettledProxy(t, testConfig(), 4)
 	type pendingAttempt struct {
@@ -384,8 +407,8 @@
 	}
 }
 
-// Long reads, which stall log replay, go to a replica that is too stale for bounded reads, from the first
-// one on.
+// Long reads stall log replay, and spread over all replicas would make all too stale for bounded reads. From
+// the first one on they go to the replica furthest behind.
 func TestLongReadsGoToReplicaFurthestBehind(t *testing.T) {
 	f := newSettledProxy(t, testConfig(), 5)
 	for i := 0; i < 300; i++ { // so that long reads are a small part of the work
@@ -406,6 +429,7 @@
 	f.wantFinalAnswer(id, "refused")
 }
 
+// Reads sent to a member that the list shows as draining or gone would be rejected or lost.
 func TestListedDrainStopsReads(t *testing.T) {
 	f := newSettledProxy(t, testConfig(), 3)
 	for i, state := range []MemberState{Draining, Gone} {
@@ -420,8 +444,8 @@
 	}
 }
 
-// A restarted member gets few requests at first: no more than the mean of the others times its warm-up
-// progress.
+// A restarted member has little capacity at first, and an equal share of the requests would overload it. With
+// slow start it gets far fewer than the others, but some.
 func TestColdMemberIsWarmedUpSlowly(t *testing.T) {
 	f := newSettledProxy(t, testConfig(), 5)
 	for i := 0; i < 100; i++ {
@@ -458,6 +482,8 @@
 	}
 }
 
+// Events for unknown requests, members or timers, duplicate outcomes and members removed during an attempt
+// must neither crash the router nor leave state behind.
 func TestUnusualEvents(t *testing.T) {
 	cfg := testConfig()
 	cfg.ListOnRequest = true
@@ -519,8 +545,8 @@
 	}
 }
 
-// A member that answers probes but no requests gets no more than trial requests, and its reads are
-// sent elsewhere.
+// A primary that answers probes but no requests would keep getting writes, which end at their deadlines. Its
+// attempts count as failed once they are far past their time, so that it is ejected until it answers again.
 func TestMemberThatAnswersOnlyProbesIsEjected(t *testing.T) {
 	f := newSettledProxy(t, testConfig(), 3)
 	var writes []RequestID
@@ -556,7 +582,7 @@
 	for _, m := range f.router.orderedMembers {
 		m.inFlightLimit = 10
 	}
-	shed := func(class, n int) (refused int) {
+	countRefused := func(class, n int) (refused int) {
 		for i := 0; i < n; i++ {
 			if f.finalAnswers[f.submit(class, 0)] == "refused" {
 				refused++
@@ -564,13 +590,13 @@
 		}
 		return refused
 	}
-	if n := shed(classBounded, 6); n != 0 {
+	if n := countRefused(classBounded, 6); n != 0 {
 		t.Errorf("%d of 6 refused though members have room", n)
 	}
-	if n := shed(classBounded, 40); n < 20 {
+	if n := countRefused(classBounded, 40); n < 20 {
 		t.Errorf("%d of 40 low-value reads refused, want most", n)
 	}
-	if n := shed(classSession, 10); n != 0 {
+	if n := countRefused(classSession, 10); n != 0 {
 		t.Errorf("%d of 10 high-value reads refused though room is reserved for them", n)
 	}
 }
@@ -606,7 +632,7 @@
 	cfg.Tenants, cfg.OverQuotaWorth = []Tenant{{Name: "a", Quota: 20}, {Name: "b", Quota: 20}}, 0.1
 	f := newSettledProxy(t, cfg, 4)
 	refused := map[int]int{}
-	ask := func(tenant, n int) {
+	submitMany := func(tenant, n int) {
 		for i := 0; i < n; i++ {
 			f.nextID++
 			f.router.Request(f.now, Request{ID: f.nextID, Class: classSession, Tenant: tenant,
@@ -619,15 +645,15 @@
 	for _, m := range f.router.orderedMembers {
 		m.inFlightLimit = 10
 	}
-	ask(0, 40)
-	ask(1, 8)
+	submitMany(0, 40)
+	submitMany(1, 8)
 	if refused[0] < 15 || refused[1] > 0 {
 		t.Errorf("refused by tenant %v, want most of tenant 0's over its quota and none of tenant 1's", refused)
 	}
 }
 
-// Failures that affect all members alike must eject none: a fifth of attempts lost must not become all
-// refused.
+// Failures that affect all members alike, here resets of two fifths of the first attempts, would eject all
+// members if each was judged alone: failures of a part of the attempts would become refusals of all.
 func TestFailuresOfAllMembersEjectNone(t *testing.T) {
 	f, ejected := newSettledProxy(t, testConfig(), 6), 0
 	for i := 0; i < 600; i++ {
--- a/logic/state.go
+++ b/logic/state.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// This file defines the state of a router; logic.go, probing.go and discovery.go operate on it.
+// This file defines the state of a router; router.go, probing.go and discovery.go operate on it.
 
 // Router chooses a member for each request of one proxy. It is not safe for concurrent use.
 type Router struct {
-	cfg   Config
-	proxy Actions // executes the router's actions
-	rng   *rand.Rand
+	cfg     Config
+	actions Actions // implemented by the proxy, which executes the actions
+	rng     *rand.Rand
 
 	started             bool          // the first event has arrived
 	admissionDraw       float64       // random number in [0, 1) for the current request; see atLimit
-	startedAt           time.Duration // when it arrived
+	startedAt           time.Duration // when the first event arrived
 	lastTickAt          time.Duration
 	stalledAt           time.Duration        // the last tick that came late; see wasStalled
 	members             map[MemberID]*member // for lookups only: iteration order is random
@@ -26,22 +26,22 @@
 	hasUnlisted         bool                 // some members are no longer listed
 	active              []*group             // groups in use; in a large fleet, a tick checks only these
 	requests            map[RequestID]*request
-	waiting             []*request // requests that wait for probe results
+	waiting             []*request // requests that wait for probe results or the next tick
 	pins                fifoCache[pinKey, pin]
 	commits             fifoCache[SessionID, time.Duration] // the newest known commit of each session
 	newestEvictedCommit time.Duration                       // the newest commit evicted from commits
-	openWrites          map[SessionID]int                   // number of writes in flight, for sessions that have any
+	openWrites          map[SessionID]int                   // number of writes in flight, for sessions with any
 
 	serviceTime       []time.Duration   // per class, estimated answer time without queueing
 	overdueAfter      []time.Duration   // per class, the time after which an answer is overdue
 	lastBoundedReadAt time.Duration     // when the last bounded read arrived
 	minMaxAge         time.Duration     // smallest MaxAge of any class; 0 = no class has one
 	tenantUsage       []decayingCounter // per tenant, recent requests within its quota
-	// lostAnswerRate is a moving average: the fraction of answers that are missing from members that
-	// otherwise answer in time.
+	// lostAnswerRate is an EWMA: the fraction of answers that are missing from members that otherwise
+	// answer in time.
 	lostAnswerRate float64
-	failureRate    float64 // moving average over all members: fraction of attempts that failed
-	retryTokens    float64 // retry budget: number of retries that may be sent now
+	failureRate    float64 // EWMA over all members: fraction of attempts that failed
+	retryTokens    float64 // retry budget (token bucket): number of further attempts that may be sent now
 
 	listCallAt     time.Duration // when the pending list call was made; 0 = none is pending
 	nextListCallAt time.Duration // when to make the next list call; 0 = none is due
@@ -56,7 +56,7 @@
 	roleAt   time.Duration // the time that the information about the role is from
 	position time.Duration // all commits up to then are applied; a lower bound that only grows
 
-	rtt               time.Duration // round-trip time of probes, moving average; 0 = never answered
+	rtt               time.Duration // round-trip time of probes, EWMA; 0 = no probe was answered
 	probing           bool          // a probe is pending
 	probedAt          time.Duration // when the last probe was sent
 	lastReplyAt       time.Duration // when it last answered a probe or a request
@@ -65,18 +65,18 @@
 	unresponsiveSince time.Duration // when unresponsive was last set
 
 	inFlight            []*attempt    // this proxy's attempts that are pending there, oldest first
-	score               float64       // moving average of answer time divided by Class.TargetLatency
-	inFlightLimit       float64       // concurrency limit for this proxy's attempts; may be fractional
-	scoredAt            time.Duration // when score was last updated
-	limitUpdatedAt      time.Duration // when inFlightLimit last recovered with time
+	latencyRatio        float64       // EWMA of answer time divided by Class.TargetLatency
+	inFlightLimit       float64       // adaptive concurrency limit for this proxy's attempts; may be fractional
+	lastLatencyAt       time.Duration // when latencyRatio was last updated
+	limitUpdatedAt      time.Duration // until when the recovery of inFlightLimit with time is accounted for
 	reportedQueue       float64       // number of waiting requests in its last report
 	queueReportedAt     time.Duration
 	limitCutAt          time.Duration // when inFlightLimit was last reduced
-	limitReached        bool          // the limit has excluded the member from a choice since the limit last grew
-	failureRate         float64       // moving average: fraction of attempts that failed
-	ejectedUntil        time.Duration // as an outlier it gets no trial request before
+	limitReached        bool          // inFlightLimit has excluded the member from a choice since it last grew
+	failureRate         float64       // EWMA: fraction of attempts that failed; see isOutlier
+	ejectedUntil        time.Duration // while it is an outlier, it gets no trial request before that
 	coldSince           time.Duration // when its process started, or it answered again after a long silence
-	cold                bool          // it is warming up and has reduced capacity
+	cold                bool          // it has reduced capacity and slow start applies; see withinColdBudget
 	coldBudget          float64       // while cold: work that may be sent, in seconds; never above zero
 	coldBudgetUpdatedAt time.Duration
 }
@@ -86,7 +86,7 @@
 	members        []*member
 	primary        *member // nil if no usable primary is known
 	lastPrimary    *member // the last known primary, kept while it is unresponsive
-	meanWork       float64 // moving average of the estimated service time per request, in seconds
+	meanWork       float64 // EWMA of the estimated service time per request, in seconds
 	meanLongWork   float64 // the part of meanWork that long reads cause; see isLongRead
 	recentRequests decayingCounter
 	active         bool // it is in Router.active
@@ -102,7 +102,7 @@
 	attempts      []*attempt
 	maybeExecuted bool // some attempt may have been executed
 	done          bool // it has its final answer, or needs none
-	overQuota     bool // its tenant was over its quota
+	overQuota     bool // its tenant was over its quota when it arrived
 	waiting       bool // it is in Router.waiting
 
 	probeRounds      int           // number of rounds of probes sent for it
@@ -118,7 +118,7 @@
 	pending         bool // it has no outcome yet
 	maybeExecuted   bool // its outcome doesn't exclude that it was executed
 	cancelRequested bool
-	overdue         bool // it takes much longer than usual for its class, and counts as a failure
+	overdue         bool // it took much longer than usual for its class, and was counted as a failure
 }
 
 // pinKey identifies the reads that share a pin.
@@ -134,13 +134,13 @@
 	term    int
 }
 
-// decayingCounter counts events and decays exponentially with time.
+// decayingCounter counts recent events: the count decays exponentially with time.
 type decayingCounter struct {
 	value     float64
 	updatedAt time.Duration
 }
 
-// valueAt returns the count as decayed by now.
+// valueAt returns the count with its decay until now.
 func (d *decayingCounter) valueAt(now, timeConstant time.Duration) float64 {
 	return d.value * math.Exp(-float64(now-d.updatedAt)/float64(max(timeConstant, 1)))
 }
@@ -150,7 +150,7 @@
 	d.value, d.updatedAt = d.valueAt(now, timeConstant)+1, now
 }
 
-// getOrCreateGroup returns the group with an ID, also before it is listed.
+// getOrCreateGroup returns the group with an ID. It creates the group if necessary, even before it is listed.
 func (r *Router) getOrCreateGroup(id GroupID) *group {
 	if r.groups[id] == nil {
 		r.groups[id] = &group{}
