--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -84,7 +84,7 @@
 		r.MemberList(now, e.List)
 	case sim.RequestReceived:
 		r.Request(now, e.Request)
-	case sim.AnswerHead:
+	case sim.AnswerStarted:
 		r.AnswerStarted(now, e.ID, e.Attempt)
 	case sim.Outcome:
 		r.Outcome(now, e.Outcome)
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// batch encodes a batch at 1 s of simulated time: a header, records of 48 bytes, and the text that they refer to.
+// batch encodes a batch at 1 s of simulated time: a header, records of 48 bytes, and the tail that they refer to.
 func batch(tail string, records ...[]byte) []byte {
 	var b []byte
 	b = binary.LittleEndian.AppendUint32(b, uint32(16+48*len(records)+len(tail)))
@@ -19,7 +19,7 @@
 	return append(b, tail...)
 }
 
-// startRecord encodes the record that starts instance 4 with settings of the given length in the batch's text.
+// startRecord encodes the record that starts instance 4 with the given settings, which are at the front of the batch's tail.
 func startRecord(settings string) []byte {
 	record := []byte{19, 4, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0, 0, 0}
 	return binary.LittleEndian.AppendUint32(record, uint32(len(settings)))
--- a/cmd/havenproxy/large_fleet_test.go
+++ b/cmd/havenproxy/large_fleet_test.go
@@ -163,7 +163,7 @@
 		t.Run(name, func(t *testing.T) {
 			fleet, service, options := startLargeFleet(t, manyDescriptors)
 			options.cpuShare = cpuShare
-			// One part drains before the proxy starts, which is expected to know it from the moment its process starts.
+			// A third of the databases drain before the proxy starts, which is expected to know it from its first moment.
 			drainedBefore, drainedLater := fleet.everyNth(3, 1), fleet.everyNth(3, 2)
 			service.setLifecycle(discovery.Terminating, drainedBefore...)
 			p := startProxy(t, options)
--- a/cmd/havenproxy/standins_test.go
+++ b/cmd/havenproxy/standins_test.go
@@ -80,7 +80,7 @@
 	if _, err := reader.read(func(b []byte) (int, error) { _, n, err := pg.NextStartup(b); return n, err }); err != nil {
 		return
 	}
-	conn.Write(pg.AppendStartupReply(nil))
+	conn.Write(pg.AppendStartupResponse(nil))
 	for {
 		message, err := reader.next()
 		if err != nil {
@@ -235,8 +235,8 @@
 	d.changed = make(chan struct{})
 }
 
-// list returns the changes after a generation, or the whole list if after is negative, and a channel that the next change
-// closes.
+// list returns the changes after a generation, or the full list if after is negative, and a channel that the next
+// change closes.
 func (d *discoveryService) list(after int64) (discovery.List, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/net/client.go
+++ b/internal/net/client.go
@@ -64,7 +64,7 @@
 type pendingResponse struct {
 	client     *client
 	id         logic.RequestID
-	answer     []byte
+	messages   []byte // the encoded response
 	done       bool
 	closeAfter bool // the connection is closed after this response
 }
@@ -130,8 +130,8 @@
 }
 
 // updateEvictionList moves the client to the list from which it may be closed to make room: silent clients have sent
-// no complete query yet, idle clients await no response, and closing clients have been sent the end of the connection
-// but have not closed their side yet.
+// no complete query yet, idle clients await no response, and closing clients have not closed their side yet after the
+// proxy closed its own.
 func (c *client) updateEvictionList() {
 	var to *list.List
 	switch {
@@ -209,7 +209,7 @@
 		c.closeWithError(pg.CodeTooManyConnections, "too many clients")
 	default:
 		c.connState = stateServing
-		c.write(pg.AppendStartupReply(nil))
+		c.write(pg.AppendStartupResponse(nil))
 	}
 	return n, nil
 }
@@ -232,7 +232,7 @@
 	}
 	c.responses = append(c.responses, resp)
 	resp.id, err = c.server.dispatcher.Submit(state.Request{ClientRequestID: st.ID, Class: st.Class, Timeout: st.Timeout,
-		Session: st.Session, Group: st.Group, TokenMillis: st.TokenMillis, Retry: st.Retry, Command: &st, Responder: resp})
+		Session: st.Session, Group: st.Group, TokenMillis: st.TokenMillis, Retry: st.Retry, Query: &st, Responder: resp})
 	if err != nil {
 		c.responses = c.responses[:len(c.responses)-1]
 	}
@@ -250,18 +250,18 @@
 // Failed implements state.Responder.
 func (resp *pendingResponse) Failed() { resp.complete(pg.AppendFailure(nil)) }
 
-// complete records the response and sends every response that is next in order.
-func (resp *pendingResponse) complete(answer []byte) {
+// complete records the response and sends all complete responses that precede the first incomplete one.
+func (resp *pendingResponse) complete(messages []byte) {
 	c := resp.client
-	resp.done, resp.answer = true, answer
+	resp.done, resp.messages = true, messages
 	n, out := 0, []byte(nil)
 	closeAfter := false
 	for ; n < len(c.responses) && c.responses[n].done; n++ {
 		closeAfter = c.responses[n].closeAfter
 		if out == nil {
-			out = c.responses[n].answer
+			out = c.responses[n].messages
 		} else {
-			out = append(out, c.responses[n].answer...)
+			out = append(out, c.responses[n].messages...)
 		}
 	}
 	if n == 0 {
@@ -293,8 +293,8 @@
 	}
 }
 
-// closeWithError sends a fatal error and closes the connection. Responses that are still due come first: the queries
-// that preceded the protocol error have been accepted.
+// closeWithError sends a fatal error and closes the connection. Pending responses come first: the queries that
+// preceded the error have been accepted.
 func (c *client) closeWithError(code, text string) {
 	if c.connState >= stateClosing {
 		return
--- a/internal/net/database.go
+++ b/internal/net/database.go
@@ -69,9 +69,9 @@
 	output           []byte
 	reply            pg.Reply
 	dialDone         bool // the dial has succeeded or failed
-	established      bool // the startup has been answered
-	awaitingResponse bool // to the startup message or to the last command
-	probing          bool // the last command was a load query
+	established      bool // the startup is complete
+	awaitingResponse bool // to the startup message or to the last query
+	probing          bool // the last query was the load query
 	closed           bool
 	responseTimer    state.Deadline // set while a response is incomplete
 	responseStarted  bool
@@ -148,10 +148,10 @@
 }
 
 // Send implements state.Conn.
-func (db *databaseConn) Send(cmd state.Command, timeout time.Duration) error {
+func (db *databaseConn) Send(query state.Query, timeout time.Duration) error {
 	db.reply.Reset()
 	db.awaitingResponse, db.probing = true, false
-	db.output = cmd.AppendTo(db.output[:0], timeout)
+	db.output = query.AppendTo(db.output[:0], timeout)
 	err := db.write(db.output)
 	if cap(db.output) > maxIdleBufferBytes {
 		db.output = nil
@@ -166,8 +166,8 @@
 	return db.write(pg.AppendQuery(nil, loadQuery))
 }
 
-// Reusable implements state.Conn. Responses carry no identifier: anything that arrives without a command, even if it is
-// still in the kernel's buffer, would be mistaken for the response to the next command.
+// Reusable implements state.Conn. Responses carry no identifier: anything that arrives while no query is pending,
+// even if it is still in the kernel's buffer, would be mistaken for the response to the next query.
 func (db *databaseConn) Reusable() bool {
 	return !db.closed && db.conn != nil && !db.awaitingResponse && db.conn.IsActive() &&
 		len(db.input.bytes) == 0 && db.fd.readBuffersEmpty()
@@ -187,7 +187,8 @@
 	}
 }
 
-// connectionLost reports the end of the connection to the handler, unless the handler has closed it itself.
+// connectionLost reports the end of the connection to the handler, unless the handler has closed it itself. A fatal
+// error that was received before is reported as the reply.
 func (db *databaseConn) connectionLost(err error) {
 	if db.closed {
 		return
@@ -242,7 +243,7 @@
 	db.dialer.Loop.deadlines.Clear(&db.responseTimer)
 }
 
-// responseTimedOut fails an incomplete response, unless the rest has arrived and only the loop was late.
+// responseTimedOut fails an incomplete response, unless more of it has arrived that the loop has not processed yet.
 func (db *databaseConn) responseTimedOut() {
 	if db.responseStarted = false; db.conn.Reader().Len() == 0 {
 		db.abortMalformed(errIncompleteResponse)
@@ -250,7 +251,7 @@
 }
 
 // responseComplete passes a complete response to the handler; the first one completes the startup. Data that follows
-// the response stays in the buffer: it makes the connection unfit for another command, but the response is valid.
+// the response stays in the buffer: no other query can be sent on the connection, but the response is valid.
 func (db *databaseConn) responseComplete() {
 	db.awaitingResponse = false
 	if !db.established && db.reply.Code == "" {
@@ -286,7 +287,7 @@
 	case pg.CodeTooManyConnections, pg.CodeCannotConnectNow:
 		r.Result = logic.Full
 	default:
-		r.StatementError = pg.StatementError(db.reply.Code)
+		r.StatementError = pg.IsStatementError(db.reply.Code)
 	}
 	report := db.reply.LoadReport
 	if db.probing && r.Result == logic.OK {
--- a/internal/net/discovery.go
+++ b/internal/net/discovery.go
@@ -59,9 +59,9 @@
 	onFirstCallDone func()
 }
 
-// NewDiscoveryClient returns a client for the service at an address; generation is that of the current list. agent tells
-// that the address is that of an agent on this machine, which responds at once and at no cost, not that of a shared
-// service.
+// NewDiscoveryClient returns a client for the service at an address; generation is that of the current list. agent
+// says that the address is that of an agent on this machine, which responds at once and at no cost, not that of a
+// shared service.
 func NewDiscoveryClient(loop *Loop, clock state.Clock, dispatcher *state.Dispatcher, address string, generation int64,
 	agent bool) *DiscoveryClient {
 	d := &DiscoveryClient{loop: loop, clock: clock, deadlines: &dispatcher.Deadlines, dispatcher: dispatcher, address: address,
@@ -109,7 +109,7 @@
 	d.Fetch()
 }
 
-// restart cancels the call in progress, if any, and starts a call that is answered at once.
+// restart cancels the call in progress, if any, and starts one to which the service responds within firstPollWait.
 func (d *DiscoveryClient) restart() {
 	d.cancelCall()
 	d.firstCall = true
@@ -140,7 +140,7 @@
 type callProgress struct {
 	clock      state.Clock
 	lastReadAt atomic.Int64 // clock time when body bytes were last read; 0 = none yet
-	bodyRead   atomic.Bool  // the whole body has been read
+	bodyRead   atomic.Bool  // the complete body has been read
 }
 
 // reader wraps a response body and records when bytes are read from it.
@@ -161,8 +161,9 @@
 	return n, err
 }
 
-// setCallDeadline fails the call in progress at the given time, unless its response is arriving then. A response stalls
-// when no bytes have come for as long as the first ones may take. One that has arrived whole only has to be decoded.
+// setCallDeadline fails the call in progress at the given time. While bytes of the response arrive, the deadline
+// moves to d.timeout after the last ones, by at most transferAllowance in all. A complete response only has to be
+// decoded, and doesn't fail.
 func (d *DiscoveryClient) setCallDeadline(wait, at time.Duration) {
 	d.deadlines.Set(&d.timer, at, func() {
 		now := d.clock.Now()
@@ -178,7 +179,7 @@
 	})
 }
 
-// fetchList makes one call. A truncated response is an error, and so is one without a length that ends by a reset.
+// fetchList makes one call. A truncated response is an error, also if it has no length and ends by a reset.
 func (d *DiscoveryClient) fetchList(ctx context.Context, url string, progress *callProgress) (discovery.List, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -201,7 +202,7 @@
 	return discovery.ParseList(body)
 }
 
-// callDone processes the result of a call, unless the call has been cancelled.
+// callDone processes the result of a call, unless the call has been cancelled or a later one has started.
 func (d *DiscoveryClient) callDone(callNumber int, l discovery.List, err error) {
 	switch {
 	case callNumber != d.callNumber || d.cancel == nil:
--- a/internal/net/discovery_test.go
+++ b/internal/net/discovery_test.go
@@ -12,18 +12,18 @@
 	"havenproxy/internal/wire/discovery"
 )
 
-// receivedCall is a call that the discovery service has received, with the connection on which to answer it.
+// receivedCall is a call that the discovery service has received, with the connection on which to respond to it.
 type receivedCall struct {
 	url  string
 	conn *stdnet.TCPConn
 }
 
-// answer sends a response with a body.
-func (c receivedCall) answer(body string) {
+// respond sends a response with a body.
+func (c receivedCall) respond(body string) {
 	fmt.Fprintf(c.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// startAgent runs a discovery service whose calls the test receives and answers.
+// startAgent runs a discovery service whose calls the test receives and responds to.
 func startAgent(t *testing.T) (address string, calls chan receivedCall) {
 	t.Helper()
 	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
@@ -130,7 +130,7 @@
 // A response is accepted in every form that HTTP allows and in fragments, and the next call sends its generation.
 func TestDiscoveryAcceptsCompleteResponsesInAnyEncoding(t *testing.T) {
 	body := "{\n  \"generation\": 5,\n  \"reset\": true,\n  \"instances\": [\n    {\n      \"instanceId\": \"a\",\n      \"lifecycle\": \"in_service\"\n    }\n  ]\n}\n"
-	for name, answer := range map[string]string{
+	for name, response := range map[string]string{
 		"length":  fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body),
 		"chunked": fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%x;q=1\r\n%s\r\n0\r\n\r\n", 9, body[:9], len(body)-9, body[9:]),
 		"close":   "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body,
@@ -143,8 +143,8 @@
 			if c.url != "/v1/endpoints?after=3&wait_ms=50" {
 				t.Errorf("the first call is %s", c.url)
 			}
-			for i := range answer {
-				c.conn.Write([]byte(answer[i : i+1]))
+			for i := range response {
+				c.conn.Write([]byte(response[i : i+1]))
 			}
 			if name == "close" || name == "old" {
 				c.conn.CloseWrite()
@@ -159,7 +159,7 @@
 // No list is accepted from a truncated response, even if it would pass for a complete one, nor from an invalid one.
 func TestDiscoveryRejectsIncompleteOrInvalidResponses(t *testing.T) {
 	body := fmt.Sprintf(oneMemberList, 9, true)
-	for name, answer := range map[string]string{
+	for name, response := range map[string]string{
 		"half":           "HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n" + body,
 		"half chunked":   fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(body), body),
 		"cut JSON":       "HTTP/1.1 200 OK\r\n\r\n" + body[:len(body)-1],
@@ -176,7 +176,7 @@
 			address, calls := startAgent(t)
 			d := startDiscovery(t, address, true)
 			c := <-calls
-			c.conn.Write([]byte(answer))
+			c.conn.Write([]byte(response))
 			if name == "reset" {
 				c.conn.SetLinger(0)
 				c.conn.Close()
@@ -198,7 +198,7 @@
 	for _, isAgent := range []bool{false, true} {
 		address, calls := startAgent(t)
 		d := startDiscovery(t, address, isAgent)
-		(<-calls).answer(fmt.Sprintf(oneMemberList, 5, true))
+		(<-calls).respond(fmt.Sprintf(oneMemberList, 5, true))
 		silent := <-calls
 		elapsed := d.advanceUntil(func() bool { return d.failures() == 1 })
 		if elapsed < longPollWait {
@@ -213,8 +213,8 @@
 		if elapsed += retryDelay; elapsed > 5500*time.Millisecond || isAgent && retryDelay > 600*time.Millisecond {
 			t.Errorf("agent %v: last call %v after the watch began, %v after it was given up", isAgent, elapsed, retryDelay)
 		}
-		silent.answer(fmt.Sprintf(oneMemberList, 99, true)) // too late
-		c.answer(fmt.Sprintf(oneMemberList, 6, true))
+		silent.respond(fmt.Sprintf(oneMemberList, 99, true)) // too late
+		c.respond(fmt.Sprintf(oneMemberList, 6, true))
 		if c := <-calls; c.url != "/v1/endpoints?after=6&wait_ms=1500" {
 			t.Errorf("the next call is %s", c.url)
 		}
@@ -236,7 +236,7 @@
 	if elapsed := d.advanceUntil(d.callInFlight); elapsed > 150*time.Millisecond {
 		t.Errorf("called again after %v", elapsed)
 	}
-	(<-calls).answer(fmt.Sprintf(oneMemberList, 5, true))
+	(<-calls).respond(fmt.Sprintf(oneMemberList, 5, true))
 	reset(<-calls)
 	if c := <-calls; !strings.HasPrefix(c.url, "/v1/endpoints?after=5&") {
 		t.Errorf("the next call is %s", c.url)
@@ -250,8 +250,8 @@
 func TestDiscoveryRejectsOlderGeneration(t *testing.T) {
 	address, calls := startAgent(t)
 	d := startDiscovery(t, address, true)
-	(<-calls).answer(`{"generation":5,"reset":true,"instances":[{"instanceId":"a","lifecycle":"terminating"}]}`)
-	(<-calls).answer(fmt.Sprintf(oneMemberList, 4, true))
+	(<-calls).respond(`{"generation":5,"reset":true,"instances":[{"instanceId":"a","lifecycle":"terminating"}]}`)
+	(<-calls).respond(fmt.Sprintf(oneMemberList, 4, true))
 	for d.failures() == 0 {
 	}
 	d.advanceUntil(d.callInFlight)
@@ -259,13 +259,14 @@
 	if c.url != "/v1/endpoints" {
 		t.Errorf("the next call is %s", c.url)
 	}
-	c.answer(fmt.Sprintf(oneMemberList, 4, true))
+	c.respond(fmt.Sprintf(oneMemberList, 4, true))
 	if c := <-calls; c.url != "/v1/endpoints?after=4&wait_ms=1500" {
 		t.Errorf("the last call is %s", c.url)
 	}
 }
 
-// After a move, responses from the old address are ignored, and the full list is fetched from the new one at once.
+// After the address has changed, responses from the old one are ignored, and the full list is fetched from the new
+// one at once.
 func TestDiscoveryMovesToNewAddressAtOnce(t *testing.T) {
 	address, calls := startAgent(t)
 	next, nextCalls := startAgent(t)
@@ -276,8 +277,8 @@
 	if c.url != "/v1/endpoints" {
 		t.Errorf("the first call to the new address is %s", c.url)
 	}
-	old.answer(fmt.Sprintf(oneMemberList, 99, true))
-	c.answer(fmt.Sprintf(oneMemberList, 2, true))
+	old.respond(fmt.Sprintf(oneMemberList, 99, true))
+	c.respond(fmt.Sprintf(oneMemberList, 2, true))
 	if c := <-nextCalls; c.url != "/v1/endpoints?after=2&wait_ms=1500" {
 		t.Errorf("the second call to the new address is %s", c.url)
 	}
@@ -328,7 +329,7 @@
 	}
 }
 
-// A list whose transfer stalls is given up as soon as a call without any response.
+// A call whose response stalls fails after the same time without data as a call that gets no response.
 func TestStalledListTransferTimesOutLikeSilentCall(t *testing.T) {
 	address, calls := startAgent(t)
 	d := startDiscovery(t, address, true)
--- a/internal/net/listener.go
+++ b/internal/net/listener.go
@@ -35,7 +35,7 @@
 	roomRequested atomic.Bool  // onFull was called, and the loop has not made room yet
 }
 
-// bind reserves an address; nobody can connect before serve. Errors are those of the system calls.
+// bind reserves an address; nobody can connect before serve.
 func bind(address string) (*listener, error) {
 	tcp, err := stdnet.ResolveTCPAddr("tcp", address)
 	if err != nil {
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -86,9 +86,9 @@
 	}
 }
 
-// startDatabase runs a minimal database that passes each query to answer, and closes the connection if that returns
+// startDatabase runs a minimal database that passes each query to respond, and closes the connection if that returns
 // false. It returns the database's address.
-func startDatabase(t *testing.T, answer func(conn stdnet.Conn, text string) bool) string {
+func startDatabase(t *testing.T, respond func(conn stdnet.Conn, text string) bool) string {
 	t.Helper()
 	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -107,14 +107,14 @@
 				if _, err := peer.readNext(func(b []byte) (int, error) { _, n, err := pg.NextStartup(b); return n, err }); err != nil {
 					return
 				}
-				conn.Write(pg.AppendStartupReply(nil))
+				conn.Write(pg.AppendStartupResponse(nil))
 				for {
 					m, err := peer.readMessage()
 					if err != nil {
 						return
 					}
 					text, _ := pg.QueryText(m)
-					if !answer(conn, string(text)) {
+					if !respond(conn, string(text)) {
 						return
 					}
 				}
@@ -131,7 +131,7 @@
 	return pg.AppendReadyForQuery(append(out, "C\x00\x00\x00\x0dSELECT 1\x00"...))
 }
 
-// echo answers a query with its own text.
+// echo responds to a query with its own text.
 func echo(conn stdnet.Conn, text string) bool {
 	_, err := conn.Write(rowResponse(text))
 	return err == nil
@@ -199,8 +199,8 @@
 	return fmt.Sprintf("SELECT val FROM state WHERE uid = '%s' /* id=%[1]s,c=any,d=15000,cluster=0 */", key)
 }
 
-// startupReplyTypes are the types of the messages that answer a startup message.
-const startupReplyTypes = "RSSSSZ"
+// startupResponseTypes are the types of the messages in response to a startup message.
+const startupResponseTypes = "RSSSSZ"
 
 func TestFragmentedPipelinedQueriesAreAnsweredInOrder(t *testing.T) {
 	s, _, _ := startProxy(t, startDatabase(t, echo), 8, 1)
@@ -219,7 +219,7 @@
 			in = in[n:]
 		}
 	}()
-	if types, _ := p.readMessages(len(startupReplyTypes)); types != startupReplyTypes {
+	if types, _ := p.readMessages(len(startupResponseTypes)); types != startupResponseTypes {
 		t.Fatalf("response to the startup message: %q", types)
 	}
 	for i := range queries {
@@ -247,14 +247,15 @@
 	p := dialProxy(t, s)
 	in := pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), strings.Replace(queryText("a"), "d=15000", "d=0", 1))
 	p.conn.Write(pg.AppendQuery(in, queryText("b")))
-	if types, bodies := p.readMessages(len(startupReplyTypes) + 5); types != startupReplyTypes+"EZDCZ" ||
+	if types, bodies := p.readMessages(len(startupResponseTypes) + 5); types != startupResponseTypes+"EZDCZ" ||
 		!strings.Contains(bodies[6], "C"+pg.CodeTooManyConnections) {
 		t.Errorf("%q, %q", types, bodies)
 	}
 }
 
-// Queries that precede a protocol error have been accepted: they are answered first, and the fatal error is complete.
-func TestDueResponsesPrecedeFatalError(t *testing.T) {
+// Queries that precede a protocol error have been accepted: their responses come first. The fatal error after them is
+// complete.
+func TestPendingResponsesPrecedeFatalError(t *testing.T) {
 	s, _, _ := startProxy(t, startDatabase(t, echo), 8, 1)
 	for _, invalid := range [][]byte{{'Q', 0xff, 0xff, 0xff, 0xff}, pg.AppendQuery(nil, "SELECT 1"), {'P', 0, 0, 0, 4},
 		pg.AppendQuery(nil, strings.Replace(queryText("a"), "c=any", "c=unheard", 1))} {
@@ -262,7 +263,7 @@
 		in := append(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), queryText("a")), invalid...)
 		p.conn.Write(append(in, bytes.Repeat([]byte("x"), 1000)...))
 		types, bodies := p.readMessages(99)
-		if types != startupReplyTypes+"DCZE!" || !strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeProtocolViolation) {
+		if types != startupResponseTypes+"DCZE!" || !strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeProtocolViolation) {
 			t.Errorf("after %q: %q, %q", invalid, types, bodies)
 		}
 	}
@@ -273,8 +274,8 @@
 	}
 }
 
-// Clients that sent one query and kept their connection occupied all places, so that new clients were rejected all
-// day.
+// Clients that sent one query and kept their connection open used up the limit on clients, and new clients were
+// rejected for as long as those stayed connected.
 func TestIdleAndSilentClientsAreClosedToMakeRoom(t *testing.T) {
 	s, _, _ := startProxy(t, startDatabase(t, echo), 4, 1)
 	start := pg.AppendStartup(nil, "client", "core")
@@ -288,19 +289,19 @@
 		}
 		return p
 	}
-	silent := connectAndSend(start, startupReplyTypes) // sends no query
-	oldest := connectAndSend(startAndQuery, startupReplyTypes+"IZ")
-	second := connectAndSend(startAndQuery, startupReplyTypes+"IZ")
-	third := connectAndSend(startAndQuery, startupReplyTypes+"IZ")
+	silent := connectAndSend(start, startupResponseTypes) // sends no query
+	oldest := connectAndSend(startAndQuery, startupResponseTypes+"IZ")
+	second := connectAndSend(startAndQuery, startupResponseTypes+"IZ")
+	third := connectAndSend(startAndQuery, startupResponseTypes+"IZ")
 	connectAndSend(startAndQuery, "E!").conn.Close() // no client has been idle or silent for long enough
-	for s.listener.open.Load() > 4 {                 // it occupies a place until it has closed its side too
+	for s.listener.open.Load() > 4 {                 // it counts as open until it has closed its side too
 	}
 	advance(s, silentTimeout)
-	connectAndSend(startAndQuery, startupReplyTypes+"IZ")
+	connectAndSend(startAndQuery, startupResponseTypes+"IZ")
 	advance(s, idleTimeout)
 	second.conn.Write(pg.AppendQuery(nil, "")) // no longer idle
 	second.readMessages(2)
-	connectAndSend(startAndQuery, startupReplyTypes+"IZ")
+	connectAndSend(startAndQuery, startupResponseTypes+"IZ")
 	for name, p := range map[string]*peer{"silent": silent, "oldest": oldest} {
 		if types, _ := p.readMessages(1); types != "!" {
 			t.Errorf("the %s client got %q, want the end of its connection", name, types)
@@ -313,16 +314,16 @@
 		}
 	}
 	advance(s, idleTimeout)
-	first := connectAndSend(start, startupReplyTypes)
-	connectAndSend(start, startupReplyTypes)
-	connectAndSend(start, startupReplyTypes) // too many silent clients make room for others
+	first := connectAndSend(start, startupResponseTypes)
+	connectAndSend(start, startupResponseTypes)
+	connectAndSend(start, startupResponseTypes) // too many silent clients make room for others
 	if types, _ := first.readMessages(1); types != "!" {
 		t.Errorf("the first of too many silent clients got %q", types)
 	}
 }
 
-// Idle clients were closed only when a new client found no place. A load balancer in front of the proxies opens no more
-// than a share of its descriptors, so no new client came, and requests found no connection.
+// Idle clients were closed only when a new client exceeded the limit. A load balancer in front of the proxies opens
+// no more than a share of its descriptors, so no new client came, and requests found no connection.
 func TestIdleClientsAreClosedAboveIdleLimit(t *testing.T) {
 	s, _, loop := startProxy(t, startDatabase(t, echo), 6, 1)
 	loop.Post(func() { s.idleLimit = 2 })
@@ -331,7 +332,7 @@
 	for range 3 {
 		p := dialProxy(t, s)
 		p.conn.Write(startAndQuery)
-		p.readMessages(len(startupReplyTypes) + 2)
+		p.readMessages(len(startupResponseTypes) + 2)
 		connected = append(connected, p)
 	}
 	advance(s, idleTimeout)
@@ -358,7 +359,7 @@
 	startAndQuery := pg.AppendQuery(start, "")
 	waiting := dialProxy(t, s)
 	waiting.conn.Write(pg.AppendQuery(start, queryText("a")))
-	waiting.readMessages(len(startupReplyTypes))
+	waiting.readMessages(len(startupResponseTypes))
 	<-received
 	var timedOut []*peer
 	for _, in := range [][]byte{{}, start[:9], start, startAndQuery[:len(startAndQuery)-1],
@@ -385,13 +386,14 @@
 	}
 }
 
-// A client over the limit gets a complete error, and the place of a client that closes becomes free.
+// A client over the limit gets a complete error. A client that closes its connection no longer counts against the
+// limit.
 func TestExcessClientGetsCompleteError(t *testing.T) {
 	s, _, _ := startProxy(t, startDatabase(t, echo), 1, 4)
 	first := dialProxy(t, s)
 	start := pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), "")
 	first.conn.Write(start)
-	if types, _ := first.readMessages(len(startupReplyTypes) + 2); types != startupReplyTypes+"IZ" {
+	if types, _ := first.readMessages(len(startupResponseTypes) + 2); types != startupResponseTypes+"IZ" {
 		t.Fatalf("the first client got %q", types)
 	}
 	second := dialProxy(t, s)
@@ -399,19 +401,20 @@
 	if types, bodies := second.readMessages(99); types != "E!" || !strings.Contains(bodies[0], "C"+pg.CodeTooManyConnections) {
 		t.Errorf("the second client got %q", types)
 	}
-	first.conn.Close() // its place is free once the proxy has noticed
+	first.conn.Close() // the proxy accepts another client once it has noticed
 	for {
 		p := dialProxy(t, s)
 		p.conn.Write(start)
-		if types, _ := p.readMessages(len(startupReplyTypes)); types == startupReplyTypes {
+		if types, _ := p.readMessages(len(startupResponseTypes)); types == startupResponseTypes {
 			break
 		}
 	}
 }
 
-// Malformed data, or a connection that ends without a response, may follow a request that was executed.
+// A request that gets malformed data, or whose connection ends without a response, may have been executed: it must
+// not count as unsent, and the client must get an error.
 func TestMalformedOrMissingResponseFailsRequest(t *testing.T) {
-	for name, answer := range map[string]func(stdnet.Conn, string) bool{
+	for name, respond := range map[string]func(stdnet.Conn, string) bool{
 		"garbage": func(c stdnet.Conn, _ string) bool { c.Write([]byte("\x00\xff\xff\xff\xff nonsense")); return true },
 		"closes":  func(stdnet.Conn, string) bool { return false },
 		"no row": func(c stdnet.Conn, _ string) bool {
@@ -419,10 +422,10 @@
 			return true
 		},
 	} {
-		s, dispatcher, loop := startProxy(t, startDatabase(t, answer), 8, 1)
+		s, dispatcher, loop := startProxy(t, startDatabase(t, respond), 8, 1)
 		p := dialProxy(t, s)
 		p.conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), queryText("a")))
-		if types, _ := p.readMessages(len(startupReplyTypes) + 2); types != startupReplyTypes+"EZ" {
+		if types, _ := p.readMessages(len(startupResponseTypes) + 2); types != startupResponseTypes+"EZ" {
 			t.Errorf("%s: the client got %q", name, types)
 		}
 		got := make(chan uint64)
@@ -440,7 +443,7 @@
 // A duplicate response or garbage after a response was mistaken for the response to the next request on that connection.
 // The response before it is valid.
 func TestDataAfterResponseIsNotMistakenForNextResponse(t *testing.T) {
-	for name, extra := range map[string]func(answer []byte) []byte{
+	for name, extra := range map[string]func(response []byte) []byte{
 		"a copy":      func(a []byte) []byte { return a },
 		"half a copy": func(a []byte) []byte { return a[:len(a)/2] },
 		"a byte":      func([]byte) []byte { return []byte("D") },
@@ -452,7 +455,7 @@
 		}), 8, 1)
 		p := dialProxy(t, s)
 		p.conn.Write(pg.AppendStartup(nil, "client", "core"))
-		p.readMessages(len(startupReplyTypes))
+		p.readMessages(len(startupResponseTypes))
 		for i := range 9 {
 			p.conn.Write(pg.AppendQuery(nil, queryText(fmt.Sprint(i))))
 			if types, bodies := p.readMessages(3); types != "DCZ" || !strings.Contains(bodies[0], fmt.Sprintf("'%d'", i)) {
@@ -462,8 +465,8 @@
 	}
 }
 
-// The id of another client's open request is an error for the second client. A connection for which there is no
-// descriptor is closed before the loop learns of it.
+// A client that uses the id of another client's open request gets an error. A connection for which there is no
+// descriptor is closed before the loop learns of it, but still makes the loop close silent clients.
 func TestDuplicateRequestIDsAndConnectionBursts(t *testing.T) {
 	received, release := make(chan struct{}), make(chan struct{})
 	s, dispatcher, loop := startProxy(t, startDatabase(t, func(c stdnet.Conn, text string) bool {
@@ -477,7 +480,7 @@
 	<-received
 	second := dialProxy(t, s)
 	second.conn.Write(pg.AppendStartup(nil, "client", "core"))
-	second.readMessages(len(startupReplyTypes))
+	second.readMessages(len(startupResponseTypes))
 	if types, _ := dialProxy(t, s).readMessages(1); types != "!" {
 		t.Errorf("a client too many got %q", types)
 	}
@@ -485,7 +488,7 @@
 	for {
 		p := dialProxy(t, s)
 		p.conn.Write(pg.AppendStartup(nil, "client", "core"))
-		if types, _ := p.readMessages(len(startupReplyTypes)); types == startupReplyTypes {
+		if types, _ := p.readMessages(len(startupResponseTypes)); types == startupResponseTypes {
 			second = p
 			break
 		}
@@ -495,7 +498,7 @@
 		t.Errorf("the second client got %q", types)
 	}
 	close(release)
-	if types, _ := first.readMessages(len(startupReplyTypes) + 3); types != startupReplyTypes+"DCZ" {
+	if types, _ := first.readMessages(len(startupResponseTypes) + 3); types != startupResponseTypes+"DCZ" {
 		t.Errorf("the first client got %q", types)
 	}
 	got := make(chan uint64)
@@ -516,7 +519,7 @@
 	p := dialProxy(t, s)
 	p.conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), queryText("a")))
 	<-started
-	if types, _ := p.readMessages(len(startupReplyTypes) + 2); types != startupReplyTypes+"EZ" {
+	if types, _ := p.readMessages(len(startupResponseTypes) + 2); types != startupResponseTypes+"EZ" {
 		t.Errorf("the client got %q", types)
 	}
 	got := make(chan uint64)
@@ -526,12 +529,13 @@
 	}
 }
 
-// Connections that are refused or fail at their start must not stay counted.
+// Connections that are refused or fail while being opened must not stay counted: after as many as the limit allows,
+// no connection could be opened any more.
 func TestFailedConnectionsAreNotCounted(t *testing.T) {
 	s, _, loop := startProxy(t, "127.0.0.1:1", 8, 1)
 	p := dialProxy(t, s)
 	p.conn.Write(pg.AppendStartup(nil, "client", "core"))
-	p.readMessages(len(startupReplyTypes))
+	p.readMessages(len(startupResponseTypes))
 	for i := range 40 { // more than the limit on connections
 		p.conn.Write(pg.AppendQuery(nil, queryText(fmt.Sprint(i))))
 		p.readMessages(2)
@@ -543,8 +547,8 @@
 	}
 }
 
-// netpoll reads what a database sends ahead of the loop. Of a response that never ended it read megabytes before the loop
-// could close the connection.
+// netpoll reads what a database sends ahead of the loop. It read megabytes of a response that never ended before the
+// loop could close the connection.
 func TestDatabaseReceiveBufferIsBounded(t *testing.T) {
 	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -574,7 +578,7 @@
 	p := dialProxy(t, s)
 	start := pg.AppendStartup(nil, "client", "core")
 	p.conn.Write(start)
-	p.readMessages(len(startupReplyTypes))
+	p.readMessages(len(startupResponseTypes))
 	partial := pg.AppendQuery(nil, "")[:3]
 	drained := func() bool {
 		got := make(chan bool)
@@ -629,7 +633,7 @@
 	waitForClient(&first)
 	p := dialProxy(t, s)
 	p.conn.Write(pg.AppendStartup(nil, "client", "core"))
-	p.readMessages(len(startupReplyTypes))
+	p.readMessages(len(startupResponseTypes))
 	waitForClient(&second)
 	done := make(chan struct{})
 	s.loop.Post(func() {
@@ -649,7 +653,7 @@
 	t.Helper()
 	p := dialProxy(t, s)
 	p.conn.Write(pg.AppendQuery(pg.AppendStartup(nil, "client", "core"), queryText("a")))
-	if types, _ := p.readMessages(len(startupReplyTypes) + 3); types != startupReplyTypes+"DCZ" {
+	if types, _ := p.readMessages(len(startupResponseTypes) + 3); types != startupResponseTypes+"DCZ" {
 		t.Fatalf("the client got %q", types)
 	}
 	return p
@@ -680,7 +684,7 @@
 	}
 }
 
-// Input that has arrived but has not been read delays closing: it is answered first.
+// Input that has arrived but has not been read delays closing: the client gets the response to it first.
 func TestCloseWaitsForInputInKernelBuffer(t *testing.T) {
 	s, _, _ := startProxy(t, startDatabase(t, echo), 8, 1)
 	p := dialServed(t, s)
@@ -711,7 +715,7 @@
 		buffered = <-got
 	}
 	second.conn.Write(append(start, partial...))
-	if types, bodies := second.readMessages(99); types != startupReplyTypes+"E!" ||
+	if types, bodies := second.readMessages(99); types != startupResponseTypes+"E!" ||
 		!strings.Contains(bodies[len(bodies)-1], "C"+pg.CodeTooManyConnections) {
 		t.Errorf("the second client got %q", types)
 	}
@@ -753,8 +757,8 @@
 	}
 }
 
-// A server that stops at once may be registered with the poller only afterwards. When its listener's descriptor was
-// closed, the next server's got the same number, and its clients were accepted for the stopped server.
+// An accept call may still use the listener's descriptor after its server has stopped. When the descriptor was
+// closed, the next server's listener got the same number, and the stopped server accepted the next server's clients.
 func TestStoppedServerDoesNotAcceptForNextServer(t *testing.T) {
 	for range 50 {
 		first := NewServer(NewLoop(state.NewSystemClock(), &state.Deadlines{}, &state.Counters{}), nil, &state.Dispatcher{}, 1, 1, 1)
@@ -798,7 +802,7 @@
 	}
 	close(release)
 	for i, p := range peers {
-		if types, _ := p.readMessages(len(startupReplyTypes) + 3); types != startupReplyTypes+"DCZ" {
+		if types, _ := p.readMessages(len(startupResponseTypes) + 3); types != startupResponseTypes+"DCZ" {
 			t.Errorf("client %d got %s", i, types)
 		}
 	}
--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -19,10 +19,10 @@
 	// peer that sends at full speed must not make it hold megabytes.
 	receiveBufferBytes = 128 << 10
 
-	// To make room, clients that don't use their connection are closed: first those that have sent no query for
-	// silentTimeout, long enough for others to send queries and get responses, then those without an open
-	// request for idleTimeout; operators allow closing idle clients after two seconds. Silent clients are also closed
-	// while they are more than 1/silentDivisor of the maximum number of clients.
+	// To make room, clients that don't use their connection are closed: first those that have not sent a complete
+	// query within silentTimeout of connecting, long enough for others to send queries and get responses, then those
+	// that have had no pending response for idleTimeout; operators allow closing idle clients after two seconds.
+	// Silent clients are also closed while they are more than 1/silentDivisor of the maximum number of clients.
 	silentTimeout    = 250 * time.Millisecond
 	silentDivisor    = 4
 	idleTimeout      = 2 * time.Second
@@ -43,7 +43,7 @@
 
 	clients          map[*client]struct{}
 	silent           list.List // no complete query yet, oldest first
-	idle             list.List // no response due, longest idle first
+	idle             list.List // no response pending, longest idle first
 	closing          list.List // write side closed, waiting for the client to close
 	bufferedBytes    int       // input of all clients that is not processed yet
 	maxBufferedBytes int       // above it, a client with more than maxIdleBufferBytes of input is rejected
@@ -145,7 +145,9 @@
 	return len(s.clients)-s.excessClients >= s.maxClients
 }
 
-// makeRoom closes clients that don't use their connection, as long as there is no room for another one.
+// makeRoom closes clients that don't use their connection, as long as there is no room for another one: first those
+// that are closing already, then silent and idle ones. It also closes silent clients while they are more than
+// 1/silentDivisor of maxClients.
 func (s *Server) makeRoom() {
 	now := s.clock.Now()
 	for {
@@ -202,9 +204,9 @@
 	s.StopListening()
 }
 
-// CloseIdle closes the clients that await no response, with allowPartial set also those with a partial query, and reports
-// whether no client is left. Input that the loop has not seen yet is answered first, and clients have lingerTimeout to
-// close their side; call CloseIdle again until it returns true.
+// CloseIdle closes the clients that await no response, with allowPartial set also those with a partial query, and
+// reports whether no client is left. Input that the loop has not seen yet is processed first, and clients have
+// lingerTimeout to close their side; call CloseIdle again until it returns true.
 func (s *Server) CloseIdle(allowPartial bool) bool {
 	for c := range s.clients {
 		c.closeIfIdle(allowPartial)
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -17,7 +17,7 @@
 
 const (
 	reservedSockets = 24 // descriptors for the process itself; the rest is split between clients and databases
-	excessDivisor   = 16 // 1/excessDivisor of the descriptors serves excess clients, which only get an error answer
+	excessDivisor   = 16 // 1/excessDivisor of the descriptors serves excess clients, which only get an error
 	// databaseShare is the share of the descriptors for connections to databases. Each request in flight holds one, and
 	// clients hold up to a third of the descriptors for requests. What exceeds that third is for probes, which need a
 	// connection to each database.
@@ -31,7 +31,7 @@
 	memoryLimitShare = 0.7
 
 	acceptGracePeriod = 500 * time.Millisecond // new clients keep coming for 0.4 s after SIGTERM
-	drainPollInterval = 5 * time.Millisecond   // how often a draining proxy checks whether all clients have their answers
+	drainPollInterval = 5 * time.Millisecond   // how often a draining proxy checks whether it can exit
 	// SIGKILL follows SIGTERM after the longest request deadline plus 0.7 s, and deadlines over 3 s count as 3 s. The proxy
 	// exits by itself before that, stopMargin after the longest deadline.
 	longestDeadlineCap = 3 * time.Second
@@ -40,9 +40,9 @@
 	// connections they hold: where this is the only proxy they have no other, and a client that is closed early can't
 	// connect to anything until the next proxy process runs.
 	drainMargin  = 300 * time.Millisecond
-	answerMargin = 100 * time.Millisecond // how long before the proxy's exit the last answers are due
+	answerMargin = 100 * time.Millisecond // how long before the proxy's exit the last requests must be answered
 
-	maxListenDelay     = time.Second      // how long clients wait at most for the first answer of discovery
+	maxListenDelay     = time.Second      // how long the listener waits at most for the first response of discovery
 	counterLogInterval = 10 * time.Second // how often the counters are logged
 
 	defaultSockets        = 1024
@@ -109,8 +109,8 @@
 	exitAt          time.Duration // when a stopping proxy exits at the latest
 }
 
-// splitDescriptors divides the descriptors between clients, connections to databases, and excess clients, which only get
-// an error answer.
+// splitDescriptors divides the descriptors between clients, connections to databases, and excess clients, which only
+// get an error.
 func splitDescriptors(sockets int) (clients, connections, excess int) {
 	sockets -= reservedSockets
 	connections, excess = int(databaseShare*float64(sockets)), sockets/excessDivisor
@@ -132,8 +132,9 @@
 	if deployment.ConnectTimeout <= 0 {
 		deployment.ConnectTimeout = defaultConnectTimeout
 	}
-	// "pushed" means that the simulator pushes changes to the router. A real proxy has an agent on its machine instead,
-	// which answers only when asked: without a watch the proxy would keep the list it started with for good.
+	// "pushed" means that the simulator pushes changes to the router. A real proxy has an agent on its machine
+	// instead, which responds only when asked: without a watch the proxy would keep the list it started with for
+	// good.
 	deployment.Config.LocalAgent, deployment.Config.ListOnRequest = !deployment.Config.ListOnRequest, true
 	p := &proxy{clock: state.NewSystemClock()}
 	dialer := &net.DatabaseDialer{ConnectTimeout: deployment.ConnectTimeout}
@@ -227,8 +228,9 @@
 	})
 }
 
-// stop shuts the proxy down gracefully: it accepts new clients for acceptGracePeriod, then serves those that are connected
-// until drainMargin before its exit, then closes idle clients and exits after the last answer.
+// stop shuts the proxy down gracefully: it accepts new clients for acceptGracePeriod, then serves those that are
+// connected until drainMargin before its exit, then closes idle clients and exits after the last answer, at the
+// latest at exitAt.
 func (p *proxy) stop() {
 	if p.stopping {
 		return
--- a/internal/run/run_test.go
+++ b/internal/run/run_test.go
@@ -48,7 +48,7 @@
 			return
 		}
 		defer conn.Close()
-		conn.Write(pg.AppendStartupReply(nil))
+		conn.Write(pg.AppendStartupResponse(nil))
 		chunk := make([]byte, 4096)
 		for got := []byte(nil); !bytes.Contains(got, []byte("SELECT val")); {
 			n, err := conn.Read(chunk)
@@ -109,7 +109,7 @@
 	})
 	late := open()
 	late.Write(startup)
-	want := append(pg.AppendStartupReply(nil), emptyAnswer...)
+	want := append(pg.AppendStartupResponse(nil), emptyAnswer...)
 	clients := map[string]net.Conn{"idle": idle, "late": late}
 	expect := func(want []byte) {
 		for name, conn := range clients {
@@ -217,8 +217,8 @@
 	}
 }
 
-// Discovery answers only when asked. With "pushed" discovery in the settings, which only the simulator implements, the proxy
-// never asked and kept the list it started with for good.
+// Discovery responds only when asked. With "pushed" discovery in the settings, which only the simulator implements,
+// the proxy never asked and kept the list it started with for good.
 func TestPushedDiscoveryIsWatched(t *testing.T) {
 	address, calls := startDiscovery(t)
 	text := strings.Replace(fmt.Sprintf(configFormat, 1024, "127.0.0.1:9"), "127.0.0.1:1", address, 1)
@@ -247,8 +247,8 @@
 	<-exited
 }
 
-// SIGHUP used to end the proxy. It must switch at once to the discovery address that the file names now, begin there with
-// the whole list, and keep open requests. A file that can't be used is logged in one line and changes nothing.
+// SIGHUP used to end the proxy. It must switch at once to the discovery address that the file names now, begin there
+// with the full list, and keep open requests. A file that can't be used is logged in one line and changes nothing.
 func TestSIGHUPSwitchesDiscoveryAndKeepsRequests(t *testing.T) {
 	log := make(logLines, 999)
 	defer slog.SetDefault(slog.Default())
@@ -340,7 +340,7 @@
 	}
 }
 
-// The proxy accepts no client before discovery has answered for the first time or maxListenDelay has passed.
+// The proxy accepts no client until discovery has responded for the first time or maxListenDelay has passed.
 func TestListensOnlyAfterDiscoveryAnswers(t *testing.T) {
 	release := make(chan struct{})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/state/connections.go
+++ b/internal/state/connections.go
@@ -31,12 +31,13 @@
 
 // Conn is a connection to a database.
 type Conn interface {
-	// Send writes a command that the database has the given time to answer. An error means that the last byte was not
-	// written.
-	Send(Command, time.Duration) error
+	// Send writes a query to which the database must reply within the given time. An error means that the last byte
+	// was not written.
+	Send(Query, time.Duration) error
 	// Probe writes a query for the load report.
 	Probe() error
-	// Reusable reports whether the next command may be sent: no data has been received that belongs to no command.
+	// Reusable reports whether the next query may be sent: the connection is open, no query is pending, and no data
+	// has been received beyond the replies to earlier queries.
 	Reusable() bool
 	// Close closes the connection. It may be called at any time, also before the connection is established.
 	Close()
@@ -44,13 +45,13 @@
 
 // ConnHandler receives the events of a connection.
 type ConnHandler interface {
-	Connected()      // the connection is established and ready for its first command
-	Reply(Reply)     // the answer to the last command
+	Connected()      // the connection is established and ready for its first query
+	Reply(Reply)     // the reply to the last query, or the error with which the database rejects the connection
 	Disconnected()   // the connection was lost or could not be established
-	MalformedReply() // the data received is not a valid answer; the connection is closed
+	MalformedReply() // the data received is not a valid reply; the connection is closed
 }
 
-// Reply is the answer of a database to a command or a probe.
+// Reply is the reply of a database to a query or a probe.
 type Reply struct {
 	Result         logic.Result
 	StatementError bool // the request itself caused the error
@@ -60,7 +61,7 @@
 	LoadReport     LoadReport
 }
 
-// LoadReport is a load report. Present is false if the answer contained none.
+// LoadReport is what a database reports about its load. Present is false if the reply contained no report.
 type LoadReport struct {
 	Present  bool
 	Role     logic.Role
@@ -75,7 +76,7 @@
 const (
 	connectionOpening connectionState = iota // not established yet
 	connectionIdle
-	connectionBusy // waiting for the answer to a command or a probe
+	connectionBusy // waiting for the reply to a query or a probe
 	connectionClosed
 )
 
@@ -88,7 +89,7 @@
 	conn        Conn
 	state       connectionState
 	probing     bool          // reserved for a probe that was sent or waits for the connection
-	reused      bool          // the probe is not the first command on this connection
+	reused      bool          // the probe is not the first query on this connection
 	probeSentAt time.Duration // when the probe was written
 	attempt     *attempt
 	idleElement *list.Element // its element in Dispatcher.idleConnections; nil = not idle
@@ -120,7 +121,7 @@
 			d.removeFromIdleOrder(c)
 			return c
 		}
-		d.closeConnection(c) // a duplicate of an answer, or the end of the stream; the new command has not been written
+		d.closeConnection(c) // it has received unexpected data or the end of the stream; the new query has not been written
 	}
 	return nil
 }
@@ -176,7 +177,7 @@
 		return
 	}
 	c.state, c.attempt, a.connection = connectionBusy, a, c
-	if err := c.conn.Send(a.req.command, a.timeoutAt-d.clock.Now()); err != nil {
+	if err := c.conn.Send(a.req.query, a.timeoutAt-d.clock.Now()); err != nil {
 		d.abortAttempt(a, Reply{Result: logic.ConnectFailed})
 		return
 	}
@@ -203,8 +204,9 @@
 	d.removeIfGone(target)
 }
 
-// releaseConnection makes an established connection available again. An attempt that waits for a connection to this
-// member to open takes it over, and the connection that the attempt waited for becomes idle once it is established.
+// releaseConnection makes an established connection available again, or closes it if the member is not ready or the
+// connection is not reusable. An attempt that waits for another connection to this member is sent on it at once; the
+// other connection is released in turn when it is established.
 func (d *Dispatcher) releaseConnection(c *connection) {
 	target := c.target
 	c.state = connectionIdle
@@ -251,13 +253,13 @@
 func (c *connection) Reply(r Reply) {
 	d := c.dispatcher
 	switch c.state {
-	case connectionOpening: // the database rejected the connection; no command was written
+	case connectionOpening: // the database rejected the connection; no query was written
 		if r.Result != logic.Full {
 			r.Result = logic.ConnectFailed
 		}
 		c.fail(r)
 		return
-	case connectionIdle, connectionClosed: // after unexpected data, the next answer could not be trusted
+	case connectionIdle, connectionClosed: // after unexpected data, the next reply could not be trusted
 		c.Disconnected()
 		return
 	}
@@ -274,9 +276,9 @@
 	d.attemptEnded(a, r)
 }
 
-// Disconnected implements ConnHandler. A request whose connection was lost while being opened was not executed; later,
-// it may have been executed. The database may have closed a reused connection before a probe arrived on it, which says
-// nothing about the member: the probe is repeated on a new connection.
+// Disconnected implements ConnHandler. A request whose connection could not be established was not executed; one
+// whose connection was lost later may have been executed. The database may have closed a reused connection before a
+// probe arrived on it, which says nothing about the member: the probe is repeated on a new connection.
 func (c *connection) Disconnected() {
 	if c.state == connectionClosed {
 		return
@@ -320,8 +322,9 @@
 	}
 }
 
-// Probe implements logic.Actions. A probe has a connection to itself, an idle or a new one, and is timed from its
-// writing: it measures the round-trip time without the handshake or an earlier request.
+// Probe implements logic.Actions. A probe has exclusive use of an idle or new connection and is timed from its
+// writing, so that the round-trip time includes neither the handshake nor an earlier request. Each member has at most
+// one probe in progress.
 func (d *Dispatcher) Probe(to logic.MemberID) {
 	m := d.membersByID[to]
 	if m == nil || m.probe != nil {
@@ -337,7 +340,7 @@
 	d.openProbe(m)
 }
 
-// openProbe opens a connection whose first command is a probe.
+// openProbe opens a connection whose first query is a probe.
 func (d *Dispatcher) openProbe(m *member) {
 	c := d.openConnection(m)
 	if c == nil {
@@ -371,7 +374,7 @@
 	d.notifyRouter(func() { d.router.ProbeResult(d.clock.Now(), p) })
 }
 
-// loadReport converts the load report of an answer to the router's terms.
+// loadReport converts the load report of a reply for the router.
 func (d *Dispatcher) loadReport(r Reply) logic.Report {
 	if !r.LoadReport.Present {
 		return logic.Report{Queue: -1}
--- a/internal/state/counters.go
+++ b/internal/state/counters.go
@@ -24,8 +24,8 @@
 	LongestStall time.Duration // the longest time that the event loop was blocked
 }
 
-// attemptEnded counts an attempt by its result.
-func (c *Counters) attemptEnded(r logic.Result) {
+// countAttempt counts an attempt by its result.
+func (c *Counters) countAttempt(r logic.Result) {
 	switch r {
 	case logic.OK:
 		c.OK++
--- a/internal/state/dispatcher.go
+++ b/internal/state/dispatcher.go
@@ -21,21 +21,21 @@
 // Responder receives the answer to one request. Exactly one of its methods is called, once, unless the request is
 // abandoned first.
 type Responder interface {
-	Served(body []byte)               // the answer of a database, valid during the call only
+	Served(body []byte)               // the body of a database's reply, valid during the call only
 	Refused(retryAfter time.Duration) // the request may be retried safely, best after retryAfter
 	Failed()                          // the request may or may not have been executed
 }
 
-// Command is the encoded form of a request.
-type Command interface {
-	// AppendTo appends the command to dst, for a database that has the given timeout to answer it.
+// Query is the query that is sent to a database for a request.
+type Query interface {
+	// AppendTo appends the query to dst, for a database that has the given timeout to reply.
 	AppendTo(dst []byte, timeout time.Duration) []byte
 }
 
 // ErrDuplicateRequest is returned for a request with the ClientRequestID of another open request.
 var ErrDuplicateRequest = errors.New("a request of that id is open")
 
-// Request is a query of a client.
+// Request is one request of a client, with the Query to send for it and the Responder that receives its answer.
 type Request struct {
 	ClientRequestID string // chosen by the client, unique to the request; empty = none
 	Class           string
@@ -44,7 +44,7 @@
 	Group           int
 	TokenMillis     int64 // token: time of the session's last commit in Unix milliseconds; 0 = none
 	Retry           bool
-	Command         Command
+	Query           Query
 	Responder       Responder
 }
 
@@ -52,7 +52,7 @@
 // Dispatcher.ListFailed.
 type Discovery interface {
 	Watch(on bool) // starts or stops watching for changes
-	Fetch()        // requests the whole list once
+	Fetch()        // requests the full list once
 }
 
 // Config describes the deployment to a Dispatcher.
@@ -80,7 +80,7 @@
 	pendingEvents []func() // events to deliver to the router, which handles one at a time
 	delivering    bool     // an event is being delivered
 
-	shutdownAt           time.Duration // latest deadline of any request while the proxy shuts down; 0 = not shutting down
+	shutdownAt           time.Duration // latest deadline of attempts and of new requests; 0 = the proxy isn't shutting down
 	lastRequestID        logic.RequestID
 	requests             map[logic.RequestID]*request
 	openClientRequestIDs map[string]struct{} // those of the open requests
@@ -104,7 +104,7 @@
 	group           int
 	receivedAt      time.Duration
 	answerDeadline  time.Duration // when the answer must be sent to the client
-	command         Command
+	query           Query
 	responder       Responder // nil once answered or abandoned
 	attempts        int       // number of attempts so far
 	openAttempt     *attempt  // the attempt that has not ended, at most one; nil = none
@@ -161,14 +161,14 @@
 	d.pendingEvents, d.delivering = d.pendingEvents[:0], false
 }
 
-// OpenRequests returns the number of open requests, including abandoned ones with an open attempt.
+// OpenRequests returns the number of open requests, including answered and abandoned ones with an open attempt.
 func (d *Dispatcher) OpenRequests() int { return len(d.requests) }
 
 // Connections returns the number of connections to databases that are open or being opened.
 func (d *Dispatcher) Connections() int { return d.connections }
 
-// ShutDownAt announces that the proxy shuts down at the time at. Open and new requests must be answered by then, even
-// if their clients would wait longer.
+// ShutDownAt announces that the proxy shuts down at the time at. Attempts end by then, no attempt starts later, and
+// new requests get a deadline by then, even if their clients would wait longer.
 func (d *Dispatcher) ShutDownAt(at time.Duration) {
 	d.shutdownAt = at
 	for _, q := range d.requests {
@@ -186,7 +186,7 @@
 	d.Deadlines.Set(&a.Deadline, a.timeoutAt, func() { d.expireAttempt(a) })
 }
 
-// answerDeadline returns when the answer must be sent to a client that waits so long.
+// answerDeadline returns when the answer must be sent to a client that waits for the given timeout.
 func (d *Dispatcher) answerDeadline(timeout time.Duration) time.Duration {
 	at := d.clock.Now() + max(timeout-clientRoundTripReserve, 0)
 	if d.shutdownAt > 0 {
@@ -215,7 +215,7 @@
 		slog.Info("first request", "id", in.ClientRequestID, "class", in.Class, "group", in.Group, "waits", in.Timeout)
 	}
 	q := &request{id: d.lastRequestID, clientRequestID: in.ClientRequestID, class: class, group: in.Group,
-		receivedAt: d.clock.Now(), answerDeadline: d.answerDeadline(in.Timeout), command: in.Command, responder: in.Responder}
+		receivedAt: d.clock.Now(), answerDeadline: d.answerDeadline(in.Timeout), query: in.Query, responder: in.Responder}
 	d.requests[q.id] = q
 	out := logic.Request{ID: q.id, Class: class, Group: logic.GroupID(in.Group), Deadline: q.answerDeadline, Retry: in.Retry}
 	switch d.cfg.Logic.Classes[class].RequiredFreshness { // in other classes, Session is not the key of a session
@@ -280,7 +280,8 @@
 	d.answer(id, &d.Counters.Failed, "failed", "it may have run, and may not be repeated", Responder.Failed)
 }
 
-// Send implements logic.Actions. It starts an attempt, whose outcome is reported later, even if nothing can be sent.
+// Send implements logic.Actions. It starts an attempt, whose outcome is reported later; the result is NotSent if
+// nothing can be sent. It ignores a request that is not open.
 func (d *Dispatcher) Send(id logic.RequestID, target logic.MemberID, timeout, sendBy time.Duration) {
 	now := d.clock.Now()
 	q, m := d.requests[id], d.membersByID[target]
@@ -319,8 +320,8 @@
 	}
 }
 
-// abortAttempt ends an attempt without an answer. It closes the connection, so that a late answer can't be taken for
-// the answer to another request.
+// abortAttempt ends an attempt that got no reply. It closes the connection, so that a late reply can't be mistaken
+// for the reply to another request.
 func (d *Dispatcher) abortAttempt(a *attempt, r Reply) {
 	if c := a.connection; c != nil {
 		d.closeConnection(c)
@@ -335,7 +336,8 @@
 	}
 }
 
-// attemptEnded reports the outcome of an attempt to the router. Before that, an OK answer is passed to the client.
+// attemptEnded reports the outcome of an attempt to the router. Before that, it passes an OK reply to the client, and
+// fails a request whose statement the database rejects.
 func (d *Dispatcher) attemptEnded(a *attempt, r Reply) {
 	q := a.req
 	if q.openAttempt != a {
@@ -347,7 +349,7 @@
 		a.connection.attempt = nil
 		a.connection = nil
 	}
-	d.Counters.attemptEnded(r.Result)
+	d.Counters.countAttempt(r.Result)
 	a.target.recordReply(r, false)
 	switch {
 	case r.Result == logic.OK:
--- a/internal/state/dispatcher_test.go
+++ b/internal/state/dispatcher_test.go
@@ -73,18 +73,18 @@
 	sent           int
 	probes         int
 	closed         bool
-	unexpectedData bool // data was received that belongs to no command
+	unexpectedData bool // data was received that belongs to no reply
 	err            error
 }
 
-func (c *fakeConn) Send(Command, time.Duration) error { c.sent++; return c.err }
-func (c *fakeConn) Probe() error                      { c.probes++; return c.err }
-func (c *fakeConn) Reusable() bool                    { return !c.unexpectedData }
-func (c *fakeConn) Close()                            { c.closed = true }
+func (c *fakeConn) Send(Query, time.Duration) error { c.sent++; return c.err }
+func (c *fakeConn) Probe() error                    { c.probes++; return c.err }
+func (c *fakeConn) Reusable() bool                  { return !c.unexpectedData }
+func (c *fakeConn) Close()                          { c.closed = true }
 
-type fakeCommand struct{}
+type fakeQuery struct{}
 
-func (fakeCommand) AppendTo(dst []byte, _ time.Duration) []byte { return dst }
+func (fakeQuery) AppendTo(dst []byte, _ time.Duration) []byte { return dst }
 
 type fakeResponder struct{ answers []string }
 
@@ -124,7 +124,7 @@
 
 // submit accepts a request and sends its first attempt to member "one".
 func (h *harness) submit(c *fakeResponder) logic.RequestID {
-	id, err := h.dispatcher.Submit(Request{Class: "any", Timeout: time.Second, Command: fakeCommand{}, Responder: c})
+	id, err := h.dispatcher.Submit(Request{Class: "any", Timeout: time.Second, Query: fakeQuery{}, Responder: c})
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -207,14 +207,14 @@
 	}
 }
 
-// No command may be sent on a connection that received data belonging to no command. Invalid data instead of an
-// answer ends the attempt, which may have been executed. A member that sends invalid data instead of a probe's answer still
-// counts as alive.
+// No query may be sent on a connection that has received data beyond its replies: the data would be mistaken for the
+// next reply. An attempt that gets invalid data instead of a reply ends, and may have been executed. A member that
+// sends invalid data in reply to a probe still counts as alive.
 func TestConnectionWithUnexpectedDataIsNotReused(t *testing.T) {
 	h := newHarness(t, 9)
 	h.submit(&fakeResponder{})
 	h.conns[0].handler.Connected()
-	h.conns[0].unexpectedData = true // a duplicate after the answer, which is valid
+	h.conns[0].unexpectedData = true // a duplicate after the reply, which is valid
 	h.conns[0].handler.Reply(Reply{Result: logic.OK})
 	h.submit(&fakeResponder{})
 	h.conns[1].handler.Connected()
@@ -236,7 +236,7 @@
 // Databases could not tell two open requests of one id apart, and one client would get the answer for the other.
 func TestDuplicateIDOfOpenRequestIsRejected(t *testing.T) {
 	h := newHarness(t, 9)
-	named := Request{ClientRequestID: "n", Class: "any", Timeout: time.Second, Command: fakeCommand{}, Responder: &fakeResponder{}}
+	named := Request{ClientRequestID: "n", Class: "any", Timeout: time.Second, Query: fakeQuery{}, Responder: &fakeResponder{}}
 	id, err := h.dispatcher.Submit(named)
 	if err != nil {
 		t.Fatal(err)
@@ -297,7 +297,7 @@
 }
 
 // The connection limit is this proxy's own. When reaching it was reported as a failure to connect, the router stopped
-// using healthy members, and they were logged as not answering.
+// using healthy members, and they were logged as unresponsive.
 func TestConnectionLimitIsNotReportedAsMemberFailure(t *testing.T) {
 	h := newHarness(t, 1)
 	h.submit(&fakeResponder{})
@@ -325,7 +325,8 @@
 func TestRouterIsNotCalledReentrantly(t *testing.T) {
 	h, c := newHarness(t, 0), &fakeResponder{} // the limit allows no connection
 	h.onRequest = func() { h.dispatcher.Send(1, h.id("one"), time.Second, 0); h.dispatcher.Probe(h.id("one")) }
-	if _, err := h.dispatcher.Submit(Request{Class: "any", Timeout: time.Second, Command: fakeCommand{}, Responder: c}); err != nil {
+	if _, err := h.dispatcher.Submit(Request{Class: "any", Timeout: time.Second, Query: fakeQuery{},
+		Responder: c}); err != nil {
 		t.Fatal(err)
 	}
 	h.want("request", outcome(logic.NotSent, false), fmt.Sprintf("probe result %d", logic.NotSent))
@@ -385,7 +386,7 @@
 func TestAttemptIsNotSentAfterSendBy(t *testing.T) {
 	for late, sent := range map[time.Duration]int{0: 1, time.Millisecond: 0} {
 		h := newHarness(t, 9)
-		id, _ := h.dispatcher.Submit(Request{Class: "any", Timeout: time.Second, Command: fakeCommand{}, Responder: &fakeResponder{}})
+		id, _ := h.dispatcher.Submit(Request{Class: "any", Timeout: time.Second, Query: fakeQuery{}, Responder: &fakeResponder{}})
 		h.dispatcher.Send(id, h.id("one"), 500*time.Millisecond, h.now+100*time.Millisecond)
 		h.received = nil
 		h.advance(100*time.Millisecond + late)
@@ -543,7 +544,7 @@
 func TestTokenAge(t *testing.T) {
 	h := newHarness(t, 9)
 	for after, want := range map[time.Duration]time.Duration{0: 0, -time.Second: time.Second, time.Millisecond: 1} {
-		in := Request{Class: "session", Timeout: time.Second, Session: 7, Command: fakeCommand{}, Responder: &fakeResponder{}}
+		in := Request{Class: "session", Timeout: time.Second, Session: 7, Query: fakeQuery{}, Responder: &fakeResponder{}}
 		if after != 0 {
 			in.TokenMillis = int64((h.Unix() + after) / time.Millisecond)
 		}
@@ -551,7 +552,7 @@
 			t.Errorf("commit at now%+v: age %v, want %v", after, h.lastRequest.TokenAge, want)
 		}
 	}
-	h.dispatcher.Submit(Request{Class: "any", Timeout: time.Second, Session: 7, TokenMillis: 1, Command: fakeCommand{},
+	h.dispatcher.Submit(Request{Class: "any", Timeout: time.Second, Session: 7, TokenMillis: 1, Query: fakeQuery{},
 		Responder: &fakeResponder{}})
 	if h.lastRequest.Session != 0 || h.lastRequest.TokenAge != 0 || h.lastRequest.Deadline >= h.now+time.Second {
 		t.Errorf("%+v: session or token passed on for a class without sessions, or wrong deadline", h.lastRequest)
@@ -567,7 +568,7 @@
 	h.dispatcher.ShutDownAt(h.now + 100*time.Millisecond)
 	for wait, want := range map[time.Duration]time.Duration{50 * time.Millisecond: 45 * time.Millisecond,
 		time.Second: 100 * time.Millisecond} {
-		h.dispatcher.Submit(Request{Class: "any", Timeout: wait, Command: fakeCommand{}, Responder: &fakeResponder{}})
+		h.dispatcher.Submit(Request{Class: "any", Timeout: wait, Query: fakeQuery{}, Responder: &fakeResponder{}})
 		if got := h.lastRequest.Deadline - h.now; got != want {
 			t.Errorf("request of a client that waits %v: deadline in %v, want %v", wait, got, want)
 		}
@@ -624,7 +625,7 @@
 	}
 }
 
-// probeOnNewConnection probes a member that has no connection yet, and answers the probe.
+// probeOnNewConnection probes a member that has no connection yet, and replies to the probe.
 func (h *harness) probeOnNewConnection(name string) {
 	h.dispatcher.Probe(h.id(name))
 	c := h.conns[len(h.conns)-1]
--- a/internal/state/members.go
+++ b/internal/state/members.go
@@ -33,10 +33,10 @@
 	name    string
 	address string
 	state   logic.MemberState
-	listed  bool // contained in the last whole list or in a later change
+	listed  bool // contained in the last complete list or in a later change
 
 	role         logic.Role // as last reported by the database
-	unresponsive bool       // its last probe got no answer
+	unresponsive bool       // its last probe got no reply
 
 	idleConnections []*connection // ordered by last use, most recent last
 	opening         []*connection // connections that were opened for an attempt and are not established
@@ -72,19 +72,19 @@
 	d.changes = listChanges{}
 	defer func() { d.changes.log(l, d.clock.Now()-begin) }()
 	out := logic.List{Kind: l.Kind}
-	whole := l.Kind != logic.ListDelta
-	if whole {
+	complete := l.Kind != logic.ListDelta
+	if complete {
 		for _, m := range d.membersByName {
 			m.listed = false
 		}
 	}
 	for _, e := range l.Entries {
-		m := d.member(e)
+		m := d.applyEntry(e)
 		m.listed = true
 		out.Entries = append(out.Entries, logic.Member{ID: m.id, Zone: d.zoneIndex(e.Zone), Group: logic.GroupID(e.Group),
 			State: e.State, Weight: e.Weight, StartedAt: fromUnix(d.clock, e.StartedUnix)})
 	}
-	if whole {
+	if complete {
 		for _, m := range d.membersByName {
 			if !m.listed {
 				d.setState(m, logic.Gone)
@@ -109,8 +109,9 @@
 	d.notifyRouter(func() { d.router.MemberList(d.clock.Now(), logic.List{Kind: logic.ListFailed}) })
 }
 
-// member returns the member of an entry, creating it if needed, after updating its address and state.
-func (d *Dispatcher) member(e ListEntry) *member {
+// applyEntry updates the address and state of the member that an entry describes, and returns the member. It creates
+// the member if it doesn't exist.
+func (d *Dispatcher) applyEntry(e ListEntry) *member {
 	m := d.membersByName[e.Name]
 	if m == nil {
 		m = &member{id: d.newMemberID(e.Name), name: e.Name, state: e.State, connections: map[*connection]struct{}{}}
@@ -136,8 +137,8 @@
 	return id
 }
 
-// setState sets the state of a member and logs a change. It closes the idle connections of a member that is not
-// ready.
+// setState sets the state of a member and logs a change, at most maxChangeLines per list. It closes the idle
+// connections of a member that is not ready, and removes a member that is gone if removeIfGone allows it.
 func (d *Dispatcher) setState(m *member, to logic.MemberState) {
 	if m.state != to {
 		if d.changes.changed++; d.changes.changed <= maxChangeLines {
@@ -155,8 +156,9 @@
 }
 
 // cancelUnsentAttempts ends the attempts that wait for a connection to members that are no longer ready: a connection
-// that is established later would carry them to a draining member after its grace period. It must be called after the
-// router has received the list, so that the router sends the requests to other members.
+// that is established later would send them to a draining member after its grace period. With IgnoreListedGone,
+// attempts on members that are gone continue. It must be called after the router has received the list, so that the
+// router sends the requests to other members.
 func (d *Dispatcher) cancelUnsentAttempts(members []*member) {
 	slices.SortFunc(members, func(a, b *member) int { return strings.Compare(a.name, b.name) })
 	for _, m := range members {
@@ -173,7 +175,7 @@
 
 // removeIfGone removes a member that is gone and has no connections: databases come and go under new names all day,
 // and would fill the memory. If the deployment sets IgnoreListedGone, "gone" doesn't bind the router, which may still
-// send to the member until a whole list leaves it out.
+// send to the member until a complete list omits it.
 func (d *Dispatcher) removeIfGone(m *member) {
 	if m.state == logic.Gone && (!m.listed || !d.cfg.Logic.IgnoreListedGone) && len(m.connections) == 0 &&
 		d.membersByName[m.name] == m {
@@ -182,8 +184,8 @@
 	}
 }
 
-// recordReply logs changes of the role that a member reports and of whether it answers probes. The router draws
-// its own conclusions from the replies.
+// recordReply logs changes of the role that a member reports and of whether it answers probes. The router evaluates
+// the replies independently of this.
 func (m *member) recordReply(r Reply, probe bool) {
 	role := r.Role
 	if role == logic.RoleUnknown {
@@ -208,7 +210,7 @@
 	}
 }
 
-// probeFailureNames holds the names in the log of the results of a probe that got no answer.
+// probeFailureNames holds the names in the log of the results of a probe that got no reply.
 var probeFailureNames = map[logic.Result]string{logic.TimedOut: "timed out", logic.ConnectFailed: "could not connect",
 	logic.Reset: "connection lost"}
 
--- a/internal/state/requestlog.go
+++ b/internal/state/requestlog.go
@@ -9,15 +9,16 @@
 	// maxRequestLinesPerSecond limits the log lines about single requests: enough to follow an incident, few compared
 	// with a proxy's traffic.
 	maxRequestLinesPerSecond = 20
-	// lateTolerance is how long after its deadline a request may be answered before it counts as late. The deadline does
-	// not include the answer's way to the client, and the client counts the request as lost soon after this tolerance.
+	// lateTolerance is how long after its deadline a request may be answered before it counts as late. The deadline
+	// does not include the network delay to the client, and the client counts the request as lost soon after this
+	// tolerance.
 	lateTolerance = 10 * time.Millisecond
 )
 
 // requestLog limits the rate of log lines about requests that were refused, failed or late. The number of
 // suppressed lines is logged with the next line.
 type requestLog struct {
-	second     time.Duration // the second that lines belongs to
+	second     time.Duration // start of the second in which lines were counted
 	lines      int
 	suppressed int
 }
--- a/internal/wire/discovery/discovery_test.go
+++ b/internal/wire/discovery/discovery_test.go
@@ -17,7 +17,7 @@
 	os.Exit(m.Run())
 }
 
-// A list of generation 0 is a valid list. Treated as no list, the whole list would be requested in a loop, without
+// A list of generation 0 is a valid list. Treated as no list, the full list would be requested in a loop, without
 // waiting.
 func TestGenerationZeroIsWatched(t *testing.T) {
 	for after, want := range map[int64]string{0: "http://h:1/v1/endpoints?after=0&wait_ms=1000",
--- a/internal/wire/discovery/list.go
+++ b/internal/wire/discovery/list.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// List is the whole list of databases (if Full is set) or the changes since an earlier generation.
+// List is the full list of databases (if Full is set) or the changes since an earlier generation.
 type List struct {
 	Generation int64    `json:"generation"` // version of the list; requests for changes refer to it
 	Full       bool     `json:"reset"`
@@ -26,7 +26,7 @@
 // Values of Member.Lifecycle.
 const (
 	InService   = "in_service"
-	Terminating = "terminating" // draining: it takes no new requests
+	Terminating = "terminating" // draining: it accepts no new requests
 	Terminated  = "terminated"
 )
 
--- a/internal/wire/discovery/url.go
+++ b/internal/wire/discovery/url.go
@@ -10,10 +10,11 @@
 // MaxResponseBytes is the maximum size of a response body, in bytes: enough for a list of several thousand databases.
 const MaxResponseBytes = 4 << 20
 
-// NoGeneration is used as the generation while there is no list yet. Real generations start at 0.
+// NoGeneration is the generation to use while there is no list, or to request the full list. Real generations start
+// at 0.
 const NoGeneration = -1
 
-// EndpointsURL returns the URL that requests the whole list, if after is NoGeneration, or else the changes since
+// EndpointsURL returns the URL that requests the full list, if after is NoGeneration, or else the changes since
 // generation after, for which the service waits up to the given time.
 func EndpointsURL(host string, after int64, wait time.Duration) string {
 	url := "http://" + host + "/v1/endpoints"
--- a/internal/wire/pg/message.go
+++ b/internal/wire/pg/message.go
@@ -47,7 +47,7 @@
 	CodeCannotConnectNow    = "57P03" // the server accepts no queries now; refused before execution, safe to retry
 	CodeReadOnlyTransaction = "25006" // a write was sent to a server that is not the primary
 	CodeSnapshotTooOld      = "72000" // the server's data is too old for the read
-	CodeSystemError         = "58000" // the proxy got no answer from any database
+	CodeSystemError         = "58000" // the proxy got no reply from any database
 )
 
 // ErrMalformed is returned for input that violates the protocol. Clients receive its text.
@@ -57,7 +57,7 @@
 type Message struct {
 	Type byte
 	Body []byte
-	Raw  []byte // the whole message, including its type and length
+	Raw  []byte // the complete message, including its type and length
 }
 
 // Next decodes the first message in buf and returns its size in bytes, or 0 if the message is still incomplete.
@@ -81,7 +81,7 @@
 // The kinds of first message.
 const (
 	StartupSession    StartupKind = iota // the startup message, which opens a session
-	StartupEncryption                    // a request for encryption; the startup message follows the answer
+	StartupEncryption                    // a request for encryption; the startup message follows the response
 	StartupCancel                        // a cancel request; the connection carries nothing else
 )
 
@@ -150,12 +150,12 @@
 	return endMessage(appendCString(dst, text), at)
 }
 
-// AppendEncryptionRefusal appends the answer to a request for encryption: the client may continue unencrypted.
+// AppendEncryptionRefusal appends the response to a request for encryption: the client may continue unencrypted.
 func AppendEncryptionRefusal(dst []byte) []byte { return append(dst, 'N') }
 
-// AppendStartupReply appends the answer to a client's startup message: AuthenticationOk, the server's parameters and
-// ReadyForQuery.
-func AppendStartupReply(dst []byte) []byte {
+// AppendStartupResponse appends the response to a client's startup message: AuthenticationOk, the server's parameters
+// and ReadyForQuery.
+func AppendStartupResponse(dst []byte) []byte {
 	dst, at := beginMessage(dst, typeAuthentication)
 	dst = endMessage(binary.BigEndian.AppendUint32(dst, 0), at)
 	for _, p := range [][2]string{{"server_version", "15.0"}, {"server_encoding", "UTF8"},
@@ -172,18 +172,18 @@
 	return endMessage(append(dst, 'I'), at)
 }
 
-// AppendEmptyQueryResponse appends the answer to an empty query.
+// AppendEmptyQueryResponse appends the response to an empty query.
 func AppendEmptyQueryResponse(dst []byte) []byte {
 	dst, at := beginMessage(dst, typeEmptyQuery)
 	return AppendReadyForQuery(endMessage(dst, at))
 }
 
-// AppendResult appends the answer to a served request: body, which is the Body of a database's Reply, followed by
+// AppendResult appends the response to a served request: body, which is the Body of a database's Reply, followed by
 // ReadyForQuery.
 func AppendResult(dst, body []byte) []byte { return AppendReadyForQuery(append(dst, body...)) }
 
-// AppendRefusal appends the error that answers a refused request. A positive retryAfter is sent as the detail field, in
-// milliseconds; it is rounded up so that no client retries too early.
+// AppendRefusal appends the error response to a refused request. A positive retryAfter is sent as the detail field,
+// in milliseconds; it is rounded up so that no client retries too early.
 func AppendRefusal(dst []byte, retryAfter time.Duration) []byte {
 	detail := ""
 	if retryAfter > 0 {
@@ -192,7 +192,7 @@
 	return AppendReadyForQuery(appendError(dst, "ERROR", CodeTooManyConnections, "no member can take this now", detail))
 }
 
-// AppendFailure appends the error that answers a failed request. It is unknown whether the request took effect.
+// AppendFailure appends the error response to a failed request. It is unknown whether the request took effect.
 func AppendFailure(dst []byte) []byte {
 	return AppendReadyForQuery(appendError(dst, "ERROR", CodeSystemError, "no member answered in time", ""))
 }
--- a/internal/wire/pg/pg_test.go
+++ b/internal/wire/pg/pg_test.go
@@ -27,8 +27,8 @@
 	return append(out, body...)
 }
 
-// answer returns a database's answer with one row; its role and position come just before ReadyForQuery.
-func answer(value string) []byte {
+// reply returns a database's reply with one row; its role and position come just before ReadyForQuery.
+func reply(value string) []byte {
 	row := binary.BigEndian.AppendUint32([]byte{0, 1}, uint32(len(value)))
 	return bytes.Join([][]byte{message('T', "\x00\x01val\x00"), message('D', string(row)+value), message('C', "SELECT 1\x00"),
 		message('S', "role\x00replica\x00"), message('S', "applied_ms\x001767225600123\x00"), message('Z', "I")}, nil)
@@ -102,7 +102,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		value := string(rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "value"))
 		var r Reply
-		err := feed(answer(value), anyPieceSizes.Draw(t, "piece sizes"), func(buf []byte) (int, error) {
+		err := feed(reply(value), anyPieceSizes.Draw(t, "piece sizes"), func(buf []byte) (int, error) {
 			m, n, err := Next(buf)
 			if n > 0 {
 				err = r.Add(m)
@@ -112,7 +112,7 @@
 		if err != nil || !r.Ready() || !r.Served() || r.Row() != value || r.Role != RoleReplica || r.Position != 1767225600123 {
 			t.Fatalf("%+v, error %v", r, err)
 		}
-		if want := answer(value); !bytes.HasPrefix(want, r.Body) {
+		if want := reply(value); !bytes.HasPrefix(want, r.Body) {
 			t.Fatal("the row was changed")
 		}
 	})
@@ -191,7 +191,7 @@
 func TestSQLSTATEsOfStatementErrors(t *testing.T) {
 	for code, want := range map[string]bool{"08P01": true, "22P02": true, "42601": true, "XX000": false, "53300": false,
 		"25006": false, "72000": false, "57P03": false} {
-		if StatementError(code) != want {
+		if IsStatementError(code) != want {
 			t.Errorf("%s: %v", code, !want)
 		}
 	}
--- a/internal/wire/pg/reply.go
+++ b/internal/wire/pg/reply.go
@@ -13,13 +13,13 @@
 	RoleReplica = "replica"
 )
 
-// Reply collects a database's messages in answer to one query, up to ReadyForQuery.
+// Reply collects the messages with which a database replies to one query, up to ReadyForQuery.
 type Reply struct {
 	Code       string // SQLSTATE of the error; empty if there was none
 	Body       []byte // RowDescription, DataRow and CommandComplete, unchanged
 	Role       string // RolePrimary, RoleReplica or empty
 	Position   int64  // commits up to then are applied, Unix milliseconds; 0 = not reported
-	LoadReport string // load report; see ParseReport
+	LoadReport string // load report; see ParseLoadReport
 
 	row      []byte // value of the row; a slice of Body
 	rowCount int
@@ -33,7 +33,7 @@
 // Ready reports whether ReadyForQuery has arrived, which ends the reply.
 func (r *Reply) Ready() bool { return r.ready }
 
-// Served reports whether the answer is complete: one row and CommandComplete, and no error.
+// Served reports whether the reply has a complete result: one row and CommandComplete, and no error.
 func (r *Reply) Served() bool { return r.Code == "" && r.rowCount == 1 && r.complete }
 
 // Add processes the next message. It returns ErrMalformed for a message that violates the protocol or that the
@@ -110,9 +110,9 @@
 	return body[6:], int(n) == len(body)-6
 }
 
-// StatementError reports whether an SQLSTATE says that the statement itself is at fault: a protocol violation, bad data
-// (class 22) or bad syntax (class 42).
-func StatementError(code string) bool {
+// IsStatementError reports whether an SQLSTATE says that the statement itself is at fault: a protocol violation, bad
+// data (class 22) or bad syntax (class 42).
+func IsStatementError(code string) bool {
 	return code == CodeProtocolViolation || strings.HasPrefix(code, "22") || strings.HasPrefix(code, "42")
 }
 
@@ -139,7 +139,7 @@
 	Queue    float64 // queued requests; negative = not reported
 }
 
-// ParseLoadReport parses a load report of the form "x0=1767225600.123,x1=1,inflight=7": x0 is the position, x1 is 1 on
+// ParseLoadReport parses a load report of the form "x0=1767225600.123,x1=1,queue=7": x0 is the position, x1 is 1 on
 // the primary, queue is the number of queued requests. Unknown fields are ignored. Values are parsed as 64-bit
 // floats, since a position has more digits than a 32-bit float holds.
 func ParseLoadReport(text string) LoadReport {
--- a/internal/wire/pg/statement.go
+++ b/internal/wire/pg/statement.go
@@ -55,7 +55,7 @@
 		case "d":
 			var ms int64
 			ms, err = strconv.ParseInt(value, 10, 64)
-			// A client with less than a millisecond left sends 0; it must still get an answer.
+			// A client with less than a millisecond left sends 0; it must still get a response.
 			if ms < 0 || ms > int64(24*time.Hour/time.Millisecond) {
 				return s, ErrInvalidStatement
 			}
@@ -102,7 +102,7 @@
 	return max(h.Sum64(), 1)
 }
 
-// AppendTo appends the statement as a Query message for a database that has the given time to answer. Only the value
+// AppendTo appends the statement as a Query message for a database that has the given time to reply. Only the value
 // of d is replaced. It is rounded down to milliseconds (but is at least 1), so that the database doesn't work on a
 // request whose client has stopped waiting.
 func (s *Statement) AppendTo(dst []byte, timeout time.Duration) []byte {
--- a/internal/wire/sim/frames.go
+++ b/internal/wire/sim/frames.go
@@ -16,7 +16,7 @@
 
 // Event codes.
 const (
-	codeDefineList    = 16 // defines a numbered member list, which codeMembers refers to
+	codeDefineList    = 16 // defines a numbered member list, which codeMemberList refers to
 	codeMemberList    = 17 // an update of the member list, by the number of a defined list
 	codeTimer         = 18
 	codeInstanceStart = 19
@@ -42,7 +42,7 @@
 	actionLog       = 24
 	actionAbort     = 25 // the instance can't continue
 	actionWatch     = 26 // start or stop watching the member list
-	actionFetch     = 27 // request the whole member list
+	actionFetch     = 27 // request the full member list
 )
 
 // Sizes and limits. Sizes are in bytes.
@@ -63,7 +63,7 @@
 	InstanceStopped             // an instance stops
 	MemberList                  // an update of the member list; sets List
 	RequestReceived             // a client sent a request; sets Request
-	AnswerHead                  // the first part of a streamed answer has arrived; sets ID and Attempt
+	AnswerStarted               // the first part of a streamed answer has arrived; sets ID and Attempt
 	Outcome                     // an attempt ended; sets Outcome
 	ProbeResult                 // a probe ended; sets ProbeResult
 	Timer                       // a timer expired; sets Timer
@@ -184,8 +184,8 @@
 	return b.tail[offset:end], nil
 }
 
-// Each decodes the events of a batch in order and calls f for each. formatOf returns the ReportFormat of an
-// instance, or false if the instance is unknown.
+// Each decodes the records of a batch in order. It stores list definitions in d and calls f for each other event.
+// formatOf returns the ReportFormat of an instance, or false if the instance is unknown.
 func (d *Decoder) Each(b Batch, formatOf func(instance uint32) (ReportFormat, bool), f func(Event) error) error {
 	for i := 0; i < b.Count; i++ {
 		rec := record(b.body[i*eventRecordSize : (i+1)*eventRecordSize])
@@ -267,7 +267,7 @@
 			Tenant: int(rec.u16(15)), Session: logic.SessionID(rec.u64(17)), Deadline: micros64(rec.u64(25)),
 			Group: logic.GroupID(rec.f32(37)), TokenAge: tokenAge(rec.f32(41)), Retry: rec.u8(45)&2 != 0}
 	case codeAnswerStarted:
-		e.Kind, e.ID, e.Attempt = AnswerHead, logic.RequestID(rec.u64(5)), int(rec.u8(13))
+		e.Kind, e.ID, e.Attempt = AnswerStarted, logic.RequestID(rec.u64(5)), int(rec.u8(13))
 	case codeTimer:
 		e.Kind, e.Timer = Timer, logic.TimerID(rec.u64(5))
 	case codeProbeResult:
@@ -318,8 +318,8 @@
 	return 0, fmt.Errorf("outcome code %d is unknown", code)
 }
 
-// tokenAge converts the age of a session's last commit, in milliseconds. It rounds down, so that the commit is never
-// taken for older than it is. A positive age stays positive, since zero means that there is no commit. Values that
+// tokenAge converts the age of a session's last commit, in milliseconds. It rounds down, so that the commit never
+// counts as older than it is. A positive age stays positive, since zero means that there is no commit. Values that
 // are not a plausible age count as none.
 func tokenAge(ms float32) time.Duration {
 	if !(ms > 0) || ms > 1e12 {
@@ -375,8 +375,8 @@
 	return out
 }
 
-// Encoder collects the actions of one reply frame, the answer to one batch. It implements logic.Actions for one
-// instance at a time.
+// Encoder collects the actions of one reply frame, which is written for each batch. It implements logic.Actions for
+// one instance at a time.
 type Encoder struct {
 	Instance uint32 // the instance that the next actions come from
 	records  []byte
--- a/internal/wire/sim/sim_test.go
+++ b/internal/wire/sim/sim_test.go
@@ -86,7 +86,7 @@
 	want.Member = logic.MemberID(0x0a124a07)<<16 | 0x2bc3
 	want.LoadReport.Queue = -1
 	if o != want {
-		t.Errorf("AttemptEnd:\n%+v, want\n%+v", o, want)
+		t.Errorf("Outcome:\n%+v, want\n%+v", o, want)
 	}
 }
 
